--- a/spindleglade/backfill/distributions.py
+++ b/spindleglade/backfill/distributions.py
@@ -28,7 +28,7 @@
     def index(self, run: float) -> int:
         return min(int(np.searchsorted(self.ends, run, side="left")), self.count - 1)
 
-    def cut(self, model: Array, elapsed: float, bound: float) -> tuple[Array, Array]:
+    def remaining(self, model: Array, elapsed: float, bound: float) -> tuple[Array, Array]:
         """Algorithm 1: what is left of a distribution for a task that has run for `elapsed` and is taken to
         end by `bound`. Returns the ends of the bins with anything left, cut at the bound, and their weights.
 
@@ -36,7 +36,7 @@
         next bin: it is still running, so some later end has to be assumed.
         """
         if elapsed < bound:
-            ends, left = self.cut_many(model, elapsed, bound)
+            ends, left = self.remaining_many(model, elapsed, bound)
             total = left.sum()
             if total > 0:
                 kept = np.nonzero(left)[0]
@@ -44,7 +44,9 @@
         following = min(self.index(elapsed) + 1, self.count - 1)
         return np.array([max(self.ends[following], elapsed)]), np.ones(1)
 
-    def cut_many(self, model: Array, elapsed: Array | float, bound: Array | float) -> tuple[Array, Array]:
+    def remaining_many(
+        self, model: Array, elapsed: Array | float, bound: Array | float
+    ) -> tuple[Array, Array]:
         """Algorithm 1, lines 9 to 15: where each bin ends and what is left of its weight. `elapsed` and
         `bound` may be columns, for as many tasks at once."""
         starts = np.maximum(self.starts, np.minimum(elapsed, self.ends))
@@ -65,9 +67,9 @@
 
     def __init__(self, bins: Bins, needed: int, kept: int, use_history: bool = True) -> None:
         self.bins = bins
-        self._needed = needed
-        self._kept = kept
-        self._use = use_history
+        self._min_runs = needed
+        self._max_runs = kept
+        self._use_history = use_history
         self._counts: dict[str, Array] = {}
         self._longest: dict[str, float] = {}
 
@@ -77,7 +79,7 @@
         counts = self._counts.setdefault(team, np.zeros(self.bins.count))
         counts[self.bins.index(run.total_seconds())] += 1
         self._longest[team] = max(self._longest.get(team, 0.0), run.total_seconds())
-        if counts.sum() > self._kept:
+        if counts.sum() > self._max_runs:
             # Locality (paper, section 3): recent runs say more, so the older half fades.
             counts *= 0.5
 
@@ -86,7 +88,7 @@
         return 0.0 if counts is None else float(counts.sum())
 
     def model(self, team: str) -> Array | None:
-        if not self._use or self.runs(team) < self._needed:
+        if not self._use_history or self.runs(team) < self._min_runs:
             return None
         counts = self._counts[team]
         return counts / counts.sum()
@@ -101,7 +103,7 @@
             end = guess if ran < guess else self.bins.ends[min(self.bins.index(ran) + 1, self.bins.count - 1)]
             return np.array([max(end - ran, 0.0)]), np.ones(1)
         # Tasks outlive their estimates here, nothing kills them: the bound is the longer of the two.
-        ends, weights = self.bins.cut(model, ran, max(guess, self._longest.get(team, 0.0)))
+        ends, weights = self.bins.remaining(model, ran, max(guess, self._longest.get(team, 0.0)))
         return np.maximum(ends - ran, 0.0), weights
 
     def expected(self, team: str, estimate: timedelta) -> timedelta:
@@ -109,7 +111,7 @@
         ends, weights = self.remaining(team, estimate, timedelta(0))
         return timedelta(seconds=float((ends * weights).sum()))
 
-    def outlook(self, teams: list[str], rows: Array) -> tuple[Array, Array]:
+    def remaining_of_tasks(self, teams: list[str], rows: Array) -> tuple[Array, Array]:
         """`remaining` for many tasks at once. Each row is a task: its team's place in `teams`, its estimate
         and the time it has run, in seconds. Returns ends and weights, one row a task; an end of no weight
         says nothing."""
@@ -129,7 +131,7 @@
                 continue
             elapsed = ran[mine][:, None]
             bound = np.maximum(guess[mine], self._longest.get(team, 0.0))[:, None]
-            parts = self.bins.cut_many(model, elapsed, bound)
+            parts = self.bins.remaining_many(model, elapsed, bound)
             total = parts[1].sum(axis=1)
             some = (total > 0) & (elapsed[:, 0] < bound[:, 0])
             ends[mine[some]] = parts[0][some]
@@ -139,7 +141,7 @@
 
     def copy(self) -> "Predictor":
         """As it is now, for a planning round in another thread."""
-        made = Predictor(self.bins, self._needed, self._kept, self._use)
+        made = Predictor(self.bins, self._min_runs, self._max_runs, self._use_history)
         made._counts = {team: counts.copy() for team, counts in self._counts.items()}
         made._longest = dict(self._longest)
         return made
--- a/spindleglade/backfill/probability.py
+++ b/spindleglade/backfill/probability.py
@@ -12,10 +12,10 @@
 
 # Times at which the table is kept. Where more tasks may end than that, some of their ends are left out: the
 # differences hardly change from one end to the next, and a round must stay short.
-MOST_EVENTS = 48
+MAX_EVENTS = 48
 
 
-def freed_at_least(chances: Array, most: int) -> Array:
+def release_probabilities(chances: Array, most: int) -> Array:
     """M_t[n] for all units and c from 0 to `most`, one row per time. `chances` has a row per unit."""
     table = np.zeros((chances.shape[1], most + 1))
     table[:, 0] = 1.0
@@ -31,9 +31,9 @@
     lacks `lacks` units beyond those free now."""
 
     def __init__(
-        self, ends: Array, weights: Array, units: Counts, lacks: int, most_events: int = MOST_EVENTS
+        self, ends: Array, weights: Array, units: Counts, lacks: int, most_events: int = MAX_EVENTS
     ) -> None:
-        self._lacks = lacks
+        self._missing_units = lacks
         events = np.unique(ends[weights > 0])
         if len(events) > most_events:
             events = events[np.linspace(0, len(events) - 1, most_events).astype(int)]
@@ -47,19 +47,19 @@
                 ended += weight[:, None] * (ends[:, column][:, None] <= events)
         firsts = np.nonzero(np.diff(units, prepend=-1))[0]
         self._chances = np.multiply.reduceat(ended, firsts, axis=0) if len(firsts) else ended[:0]
-        self._table = freed_at_least(self._chances, lacks)
-        self._largest: dict[int, Array] = {}
+        self._table = release_probabilities(self._chances, lacks)
+        self._max_differences: dict[int, Array] = {}
 
     def _differences(self, more: int) -> Array:
         """Largest M_t[c_q] - M_t[c] up to each event, c being `more` than the head lacks."""
-        if more not in self._largest:
-            if self._table.shape[1] <= self._lacks + more:
-                self._table = freed_at_least(self._chances, self._lacks + 2 * more)
-            differences = self._table[:, self._lacks] - self._table[:, self._lacks + more]
-            self._largest[more] = np.maximum.accumulate(differences)
-        return self._largest[more]
+        if more not in self._max_differences:
+            if self._table.shape[1] <= self._missing_units + more:
+                self._table = release_probabilities(self._chances, self._missing_units + 2 * more)
+            differences = self._table[:, self._missing_units] - self._table[:, self._missing_units + more]
+            self._max_differences[more] = np.maximum.accumulate(differences)
+        return self._max_differences[more]
 
-    def delay(self, ends: Array, weights: Array, more: int = 1) -> float:
+    def delay_probability(self, ends: Array, weights: Array, more: int = 1) -> float:
         """The chance that the head is delayed if `more` units are taken by tasks that end so: over the bins,
         the bin's weight times the largest difference before its end."""
         if not len(self._events):
--- a/spindleglade/backfill/reserving.py
+++ b/spindleglade/backfill/reserving.py
@@ -6,23 +6,23 @@
 
 from spindleglade.backfill.arrays import Array, Counts, Mask
 from spindleglade.backfill.probability import Reservation
-from spindleglade.backfill.round_state import Round
-from spindleglade.backfill.snapshot import EPS, JobView, task_rows
+from spindleglade.backfill.round_state import PlanningState
+from spindleglade.backfill.snapshot import CAPACITY_TOLERANCE, JobView, task_rows
 
 
-class Reserving(Round):
+class ReservationMixin(PlanningState):
     def _outlook(self) -> tuple[Counts, Array, Array, Array, Array]:
         """All tasks on open machines, those started in this round too: where they are, their rows, when they
         are expected to end, and the possible ends with their weights."""
-        parts = [view.rows(self.codes) for view in self.machines]
+        parts = [view.task_rows(self.team_codes) for view in self.machines]
         where = np.repeat(np.arange(len(parts)), [len(part) for part in parts])
-        if self.added:
-            parts.append(task_rows([task for _, task in self.added], self.codes))
-            where = np.concatenate((where, [at for at, _ in self.added]))
+        if self.placed:
+            parts.append(task_rows([task for _, task in self.placed], self.team_codes))
+            where = np.concatenate((where, [at for at, _ in self.placed]))
         rows = np.concatenate(parts) if parts else np.zeros((0, 6))
         elapsed = np.nan_to_num(self.now.total_seconds() - rows[:, 2], nan=0.0)
-        ends, weights = self.predictor.outlook(
-            list(self.codes), np.column_stack((rows[:, 0], rows[:, 1], elapsed))
+        ends, weights = self.predictor.remaining_of_tasks(
+            list(self.team_codes), np.column_stack((rows[:, 0], rows[:, 1], elapsed))
         )
         return where, rows, (ends * weights).sum(axis=1), ends, weights
 
@@ -32,8 +32,8 @@
         what would then be left over, for the tasks that must end their places and machines, and all ends and
         weights."""
         where, rows, expected, ends, weights = self._outlook()
-        need = np.array(job.need) - EPS
-        free = self._unclaimed(job)
+        need = np.array(job.demand) - CAPACITY_TOLERANCE
+        free = self._unreserved_capacity(job)
         order = np.lexsort((expected, where))
         at = where[order]
         freed = np.cumsum(rows[order, 3:], axis=0)
@@ -51,20 +51,20 @@
         left[some] = have[last[some]]
         now = (free >= need).all(axis=1)
         ready[now], left[now], last[now] = 0.0, free[now], -1
-        allowed = self._allowed(job)
+        allowed = self._eligible_machines(job)
         unit = allowed & np.isfinite(ready)
         ending = np.arange(len(order)) <= last[at]
         ending &= unit[at]
-        return unit, ready, left - need - EPS, order[ending], at[ending], ends, weights
+        return unit, ready, left - need - CAPACITY_TOLERANCE, order[ending], at[ending], ends, weights
 
     def _reserve(self) -> Reservation:
         """The head's reservation; made only once something asks to go before it."""
         if self.reservation is None:
-            assert self.head is not None
-            unit, ready, left, ending, at, ends, weights = self._units(self.head)
+            assert self.reserved_job is not None
+            unit, ready, left, ending, at, ends, weights = self._units(self.reserved_job)
             self.spare = {int(machine): tuple(left[machine]) for machine in np.nonzero(unit)[0]}
             free = int((unit & (ready == 0.0)).sum())
-            lacks = max(1, min(self.head_tasks, len(self.spare)) - free)
+            lacks = max(1, min(self.reserved_task_count, len(self.spare)) - free)
             self.reservation = Reservation(ends[ending], weights[ending], at, lacks)
         return self.reservation
 
@@ -76,15 +76,15 @@
         spare = self.spare.get(at)
         if spare is None:
             return wanted
-        count = min(wanted, job.fitting(*spare))
-        if count < wanted and job.like() not in refused:
-            self.plan.checks += 1
+        count = min(wanted, job.count_fitting(*spare))
+        if count < wanted and job.equivalence_key() not in refused:
+            self.plan.delay_checks += 1
             ends, weights = self.predictor.remaining(job.team, job.estimate, timedelta(0))
-            if reservation.delay(ends, weights, self.taken + 1) < self.tau:
-                self.taken += 1
+            if reservation.delay_probability(ends, weights, self.units_taken + 1) < self.tau:
+                self.units_taken += 1
                 del self.spare[at]
                 return wanted
-            refused.add(job.like())
+            refused.add(job.equivalence_key())
         if count:
             self.spare[at] = (
                 spare[0] - job.cpus * count,
@@ -98,12 +98,12 @@
         one place: what it has already, and more on the machines that will have room soonest. On a sixteenth
         of the machines at most: they stand half empty meanwhile, and the others must get on as well."""
         held = 0
-        for at in self.columns.claimed:
-            count = self.machines[at].claims.get(job.id, 0)
+        for at in self.columns.reserved:
+            count = self.machines[at].reserved_capacity.get(job.id, 0)
             if count > 0:
-                self.plan.claims.append((self.machines[at].name, job.id, count))
+                self.plan.reserved_capacity.append((self.machines[at].name, job.id, count))
                 held += count
-        more = min(rest - held, max(1, len(self.machines) // 16) - len(self.columns.claimed))
+        more = min(rest - held, max(1, len(self.machines) // 16) - len(self.columns.reserved))
         if more <= 0:
             return
         unit, ready, *_ = self._units(job)
@@ -111,20 +111,20 @@
         for at in np.argsort(ready, kind="stable")[:more]:
             if not np.isfinite(ready[at]):
                 break
-            if self.machines[at].claims:
+            if self.machines[at].reserved_capacity:
                 continue
-            self.machines[at].claims[job.id] = 1
-            self.columns.claimed.append(int(at))
-            self.plan.claims.append((self.machines[at].name, job.id, 1))
+            self.machines[at].reserved_capacity[job.id] = 1
+            self.columns.reserved.append(int(at))
+            self.plan.reserved_capacity.append((self.machines[at].name, job.id, 1))
 
     def _outranks(self, job: JobView) -> bool:
         """Whether the job might stop a task of the head by the protocol's rules; then holding it back behind
         the head would only make it do so later, at the price of the work lost."""
-        assert self.head is not None
-        if job.rank > self.head.rank:
+        assert self.reserved_job is not None
+        if job.rank > self.reserved_job.rank:
             return True
         return (
-            job.team != self.head.team
-            and self._within(job, guarantee=True)
-            and not self._within(self.head, guarantee=True)
+            job.team != self.reserved_job.team
+            and self._is_within(job, guarantee=True)
+            and not self._is_within(self.reserved_job, guarantee=True)
         )
--- a/spindleglade/backfill/rounds.py
+++ b/spindleglade/backfill/rounds.py
@@ -11,16 +11,16 @@
 from spindleglade.backfill.planner import Planner
 from spindleglade.backfill.snapshot import Plan
 from spindleglade.clock import ZERO, Clock, sleep
-from spindleglade.loop import Loop
-from spindleglade.workers.cluster import Cluster
+from spindleglade.loop import PeriodicTask
+from spindleglade.workers.cluster import ClusterState
 
 log = logging.getLogger("spindleglade.backfill")
 
 
-class Rounds:
+class PlanningLoop:
     def __init__(
         self,
-        cluster: Cluster,
+        cluster: ClusterState,
         planner: Planner,
         clock: Clock,
         compute: Callable[..., Awaitable[Any]],
@@ -31,14 +31,14 @@
         self._planner = planner
         self._clock = clock
         self._compute = compute
-        self._least = least
-        self._planned = planned
-        self._wanted = True
-        self._idle: Deferred[None] | None = None
+        self._min_interval = least
+        self._on_planned = planned
+        self._change_pending = True
+        self._wakeup: Deferred[None] | None = None
         self._stopped = False
-        self._loop = Loop(clock, "planning", self._plan_once, self._until_next)
+        self._loop = PeriodicTask(clock, "planning", self._plan_once, self._until_next)
         # When the latest round began.
-        self._began = ZERO
+        self._pass_started_at = ZERO
 
     def start(self) -> None:
         """Begins the first round."""
@@ -51,42 +51,42 @@
         self.wake()
 
     @property
-    def stalled(self) -> str | None:
+    def stall_reason(self) -> str | None:
         """Why nothing is planned, if so."""
-        return self._loop.stalled
+        return self._loop.stall_reason
 
     def wake(self) -> None:
         """Something has changed."""
-        self._wanted = True
-        if self._idle is not None:
-            idle, self._idle = self._idle, None
+        self._change_pending = True
+        if self._wakeup is not None:
+            idle, self._wakeup = self._wakeup, None
             idle.callback(None)
 
     async def _until_next(self) -> None:
         # Rounds get long with a long queue, and on a slow or busy processor, where reports and leases go
         # first: a fifth of the time at most.
-        await sleep(self._clock, max(self._least, (self._clock.now() - self._began) * 4))
-        if not self._wanted:
-            self._idle = Deferred()
-            await self._idle
+        await sleep(self._clock, max(self._min_interval, (self._clock.now() - self._pass_started_at) * 4))
+        if not self._change_pending:
+            self._wakeup = Deferred()
+            await self._wakeup
 
     async def _plan_once(self) -> None:
-        self._wanted = False
-        self._began = began = self._clock.now()
+        self._change_pending = False
+        self._pass_started_at = began = self._clock.now()
         plan, cpu = await self._compute(self._plan, began)
         if self._stopped:
             return
-        placed = self._cluster.apply(plan, self._clock.now())
+        placed = self._cluster.apply_plan(plan, self._clock.now())
         log.debug(
             "planned starts=%d stops=%d unmet=%d head=%s checks=%d cpu_ms=%.1f",
             placed,
-            len(plan.stops),
-            len(plan.unmet),
-            plan.head,
-            plan.checks,
+            len(plan.preemptions),
+            len(plan.unplaced),
+            plan.reserved_job,
+            plan.delay_checks,
             cpu * 1000,
         )
-        self._planned(plan, placed)
+        self._on_planned(plan, placed)
 
     def _plan(self, now: timedelta) -> tuple[Plan, float]:
         began = time.thread_time()
--- a/spindleglade/backfill/test_distributions.py
+++ b/spindleglade/backfill/test_distributions.py
@@ -23,7 +23,7 @@
 @given(models, st.floats(0, 1000), st.floats(0.1, 2000))
 def test_the_cut_is_algorithm_1(counts, elapsed, bound):
     model = np.array(counts, float) / sum(counts)
-    ends, weights = BINS.cut(model, elapsed, bound)
+    ends, weights = BINS.remaining(model, elapsed, bound)
     assert abs(weights.sum() - 1) < 1e-9
     assert all(end >= elapsed for end in ends)
     assert list(ends) == sorted(ends)
@@ -53,7 +53,7 @@
     predictor = Predictor(Bins(seconds(1), 1.8), 10, 100)
     for run in runs:
         predictor.add("u", seconds(run))
-    ends, weights = predictor.outlook(["t", "u"], np.array(tasks, float))
+    ends, weights = predictor.remaining_of_tasks(["t", "u"], np.array(tasks, float))
     for row, (team, estimate, elapsed) in enumerate(tasks):
         expected = predictor.remaining(["t", "u"][team], seconds(estimate), seconds(elapsed))
         some = weights[row] > 0
--- a/spindleglade/backfill/test_probability.py
+++ b/spindleglade/backfill/test_probability.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from spindleglade.backfill.probability import Reservation, freed_at_least
+from spindleglade.backfill.probability import Reservation, release_probabilities
 
 
 @st.composite
@@ -41,7 +41,7 @@
 
 @given(st.lists(st.floats(0, 1), min_size=1, max_size=4))
 def test_the_table_is_the_chance_of_each_count(chances):
-    table = freed_at_least(np.array(chances)[:, None], 4)
+    table = release_probabilities(np.array(chances)[:, None], 4)
     for count in range(5):
         expected = 0.0
         for freed in itertools.product([False, True], repeat=len(chances)):
@@ -62,11 +62,11 @@
     for end, weight in zip(*candidate, strict=True):
         gaps = [at_least(time, lacks) - at_least(time, lacks + more) for time in events if time < end]
         total += weight * max(gaps, default=0.0)
-    assert abs(reservation(parts, lacks).delay(*candidate, more) - total) < 1e-9
+    assert abs(reservation(parts, lacks).delay_probability(*candidate, more) - total) < 1e-9
 
 
 def test_certain_estimates_make_it_easy_backfilling():
     """One end each with weight one: refused exactly if the candidate ends after the head could start."""
     made = reservation([[(np.array([10.0]), np.ones(1))]], 1)
     for end, chance in ((9.0, 0.0), (10.0, 0.0), (11.0, 1.0)):
-        assert made.delay(np.array([end]), np.ones(1)) == chance
+        assert made.delay_probability(np.array([end]), np.ones(1)) == chance
--- a/spindleglade/backfill/test_urgency.py
+++ b/spindleglade/backfill/test_urgency.py
@@ -60,6 +60,6 @@
 
 
 def test_a_job_that_others_press_for_goes_first_within_its_priority_only():
-    jobs = [job("job-1", 8.0), job("job-2", 8.0, pressing=True), job("job-3", 8.0, rank=2)]
+    jobs = [job("job-1", 8.0), job("job-2", 8.0, is_urgent=True), job("job-3", 8.0, rank=2)]
     result = plan(jobs, [machine("n-1"), machine("n-2")])
     assert started(result) == [("job-3", "n-1"), ("job-2", "n-2")]
--- a/spindleglade/cli.py
+++ b/spindleglade/cli.py
@@ -58,11 +58,11 @@
     from twisted.internet import reactor
     from twisted.python.log import PythonLoggingObserver
 
-    from spindleglade.app import run_node
+    from spindleglade.app import run_controller
 
     PythonLoggingObserver("twisted").start()
     logging.getLogger("twisted").setLevel(logging.ERROR)
-    run_node(platform, settings, reactor)
+    run_controller(platform, settings, reactor)
     gc.freeze()
     gc.enable()
     reactor.run()  # type: ignore[attr-defined]
--- a/spindleglade/fleet/messages.py
+++ b/spindleglade/fleet/messages.py
@@ -16,36 +16,36 @@
     zones: list[str] = msgspec.field(name="glades", default_factory=list)
 
 
-class Types(msgspec.Struct, frozen=True):
+class MachineTypeList(msgspec.Struct, frozen=True):
     types: list[MachineType] = msgspec.field(name="frames")
 
 
-class Rent(msgspec.Struct, frozen=True):
-    request: str = msgspec.field(name="ask")
+class ProvisionRequest(msgspec.Struct, frozen=True):
+    request_id: str = msgspec.field(name="ask")
     type: str = msgspec.field(name="frame")
     zone: str = msgspec.field(name="glade")
     spot: bool = msgspec.field(name="windfall")
     count: int = msgspec.field(name="how_many")
 
 
-class Rented(msgspec.Struct, frozen=True):
+class ProvisionResponse(msgspec.Struct, frozen=True):
     machines: list[str] = msgspec.field(name="spindles")
 
 
-class Release(msgspec.Struct, frozen=True):
+class TerminateRequest(msgspec.Struct, frozen=True):
     machines: list[str] = msgspec.field(name="spindles")
 
 
-class Listed(msgspec.Struct, frozen=True):
+class ListedMachine(msgspec.Struct, frozen=True):
     name: str = msgspec.field(name="ref")
     address: str = msgspec.field(name="addr")
     type: str = msgspec.field(name="frame")
     zone: str = msgspec.field(name="glade")
     spot: bool = msgspec.field(name="windfall")
-    stage: str
+    state: str = msgspec.field(name="stage")
     age_s: float = msgspec.field(name="held_s")
 
 
-class Page(msgspec.Struct, frozen=True):
-    machines: list[Listed] = msgspec.field(name="spindles")
+class MachinePage(msgspec.Struct, frozen=True):
+    machines: list[ListedMachine] = msgspec.field(name="spindles")
     more: bool = msgspec.field(name="has_next", default=False)
--- a/spindleglade/fleet/ordinary.py
+++ b/spindleglade/fleet/on_demand.py
@@ -8,13 +8,13 @@
 from dataclasses import replace
 from datetime import timedelta
 
-from spindleglade.backfill.snapshot import Unmet, idle_time
+from spindleglade.backfill.snapshot import UnplacedDemand, is_best_effort
 from spindleglade.clock import seconds
 from spindleglade.settings.operator import FleetSettings
 from spindleglade.settings.platform import Team
 
 
-class OrdinaryPolicy:
+class OnDemandPolicy:
     """Follows since when jobs wait for room, and says which of their tasks may have ordinary machines.
 
     - All tasks of a job that has waited for `ordinary_wait_s`.
@@ -33,17 +33,23 @@
         # Since when no spot machine has been there or on its way.
         self._no_spot_since: timedelta | None = None
 
-    def waits(self, unmet: Iterable[Unmet], teams: dict[str, Team], now: timedelta) -> None:
+    def observe_demand(
+        self, unplaced: Iterable[UnplacedDemand], teams: dict[str, Team], now: timedelta
+    ) -> None:
         """What the latest planning round found no room for."""
         self._waiting_since = {
             entry.job.id: self._waiting_since.get(entry.job.id, now)
-            for entry in unmet
-            if not idle_time(entry.job, teams)
+            for entry in unplaced
+            if not is_best_effort(entry.job, teams)
         }
 
     def allow(
-        self, unmet: Iterable[Unmet], has_begun: Callable[[str], bool], spot_there: bool, now: timedelta
-    ) -> list[Unmet]:
+        self,
+        unplaced: Iterable[UnplacedDemand],
+        has_begun: Callable[[str], bool],
+        spot_there: bool,
+        now: timedelta,
+    ) -> list[UnplacedDemand]:
         """The same work, with `ordinary` set where ordinary machines may be rented for it. `has_begun` tells
         whether a task of a job runs or is done; `spot_there`, whether any spot machine is there or on its
         way."""
@@ -52,10 +58,10 @@
         elif self._no_spot_since is None:
             self._no_spot_since = now
         return [
-            replace(entry, ordinary=True)
+            replace(entry, may_use_on_demand=True)
             if self._has_waited(entry.job.id, now) or self._is_due(entry, has_begun)
             else entry
-            for entry in unmet
+            for entry in unplaced
         ]
 
     def _has_waited(self, job_id: str, now: timedelta) -> bool:
@@ -67,8 +73,8 @@
             return True
         return self._no_spot_since is not None and now - max(since, self._no_spot_since) >= self._no_spot_wait
 
-    def _is_due(self, entry: Unmet, has_begun: Callable[[str], bool]) -> bool:
+    def _is_due(self, entry: UnplacedDemand, has_begun: Callable[[str], bool]) -> bool:
         """Whether these are the tasks that the planner sends ahead for a job that has had no start for long.
         A job that has failed everywhere is only tried, and needs no machine of its own for that."""
         waits = entry.job.id in self._waiting_since
-        return waits and entry.job.overdue and not entry.job.trial and not has_begun(entry.job.id)
+        return waits and entry.job.is_overdue and not entry.job.is_probe and not has_begun(entry.job.id)
--- a/spindleglade/fleet/test_ordinary.py
+++ b/spindleglade/fleet/test_on_demand.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from spindleglade.backfill.snapshot import Unmet
+from spindleglade.backfill.snapshot import UnplacedDemand
 from spindleglade.backfill.test_planner import job
 from spindleglade.clock import seconds
-from spindleglade.fleet.ordinary import OrdinaryPolicy
+from spindleglade.fleet.on_demand import OnDemandPolicy
 from spindleglade.settings import Team
 from spindleglade.settings.operator import FleetSettings
 
@@ -18,18 +18,18 @@
 
 
 def waiting(work=None):
-    return Unmet(work or job("job-1", 4.0), 3, False)
+    return UnplacedDemand(work or job("job-1", 4.0), 3, False)
 
 
 def allowed_after(wait, entry=None, spot_there=True, begun=False):
     """Whether ordinary machines may be rented for work that has waited so long, looked at twice a second."""
     entry = entry or waiting()
-    policy, now = OrdinaryPolicy(SETTINGS), START
+    policy, now = OnDemandPolicy(SETTINGS), START
     while True:
-        policy.waits([entry], TEAMS, now)
+        policy.observe_demand([entry], TEAMS, now)
         (found,) = policy.allow([entry], lambda name: begun, spot_there, now)
         if now - START >= wait:
-            return found.ordinary
+            return found.may_use_on_demand
         now += seconds(0.5)
 
 
@@ -45,8 +45,8 @@
 
 
 def test_the_lack_of_spot_machines_is_waited_out_from_its_beginning():
-    policy, entry, now = OrdinaryPolicy(SETTINGS), waiting(), START + NO_SPOT * 2
-    policy.waits([entry], TEAMS, START)
+    policy, entry, now = OnDemandPolicy(SETTINGS), waiting(), START + NO_SPOT * 2
+    policy.observe_demand([entry], TEAMS, START)
     for spot_there, at, expected in [
         (True, now, False),
         (False, now + seconds(1), False),
@@ -55,27 +55,27 @@
         (False, now + seconds(3) + NO_SPOT, False),
     ]:
         (found,) = policy.allow([entry], lambda name: False, spot_there, at)
-        assert found.ordinary == expected
+        assert found.may_use_on_demand == expected
 
 
 def test_only_the_first_tasks_of_an_overdue_job_without_a_start_get_them_at_once():
-    overdue = waiting(replace(job("job-1", 4.0), overdue=True))
-    assert allowed_after(seconds(0), overdue)
-    assert not allowed_after(seconds(0), overdue, begun=True)
-    assert not allowed_after(seconds(0), waiting(replace(overdue.job, trial=True)))
+    is_overdue = waiting(replace(job("job-1", 4.0), is_overdue=True))
+    assert allowed_after(seconds(0), is_overdue)
+    assert not allowed_after(seconds(0), is_overdue, begun=True)
+    assert not allowed_after(seconds(0), waiting(replace(is_overdue.job, is_probe=True)))
     assert not allowed_after(seconds(0), waiting())
 
 
 @pytest.mark.parametrize("spot_there", [True, False])
 def test_idle_time_work_gets_none_however_long_it_waits(spot_there):
-    idle = replace(job("job-1", 4.0, team="guest", rank=0), overdue=True)
+    idle = replace(job("job-1", 4.0, team="guest", rank=0), is_overdue=True)
     assert not allowed_after(LONG * 2, waiting(idle), spot_there)
 
 
 def test_a_job_that_found_room_in_between_waits_anew():
-    policy, entry = OrdinaryPolicy(SETTINGS), waiting()
-    policy.waits([entry], TEAMS, START)
-    policy.waits([], TEAMS, START + LONG / 2)
-    policy.waits([entry], TEAMS, START + LONG)
+    policy, entry = OnDemandPolicy(SETTINGS), waiting()
+    policy.observe_demand([entry], TEAMS, START)
+    policy.observe_demand([], TEAMS, START + LONG / 2)
+    policy.observe_demand([entry], TEAMS, START + LONG)
     (found,) = policy.allow([entry], lambda name: False, True, START + LONG + seconds(1))
-    assert not found.ordinary
+    assert not found.may_use_on_demand
--- a/spindleglade/fleet/types.py
+++ b/spindleglade/fleet/types.py
@@ -9,14 +9,22 @@
 import msgspec
 
 from spindleglade.clock import Clock, seconds, sleep
-from spindleglade.fleet.client import CloudClient, Refused, Silent
-from spindleglade.fleet.messages import MachineType, Types
-from spindleglade.store.client import Committed, Condition, Put, StateClient, Unavailable, Unknown, raw
+from spindleglade.fleet.client import CloudClient, CloudRequestRejectedError, CloudTimeoutError
+from spindleglade.fleet.messages import MachineType, MachineTypeList
+from spindleglade.store.client import (
+    Committed,
+    Condition,
+    NotAppliedError,
+    OutcomeUnknownError,
+    Put,
+    StateClient,
+    encode_value,
+)
 from spindleglade.store.replica import Replica
 from spindleglade.submissions.messages import MachineShape
 from spindleglade.submissions.records import TYPES
-from spindleglade.tasks import keep
-from spindleglade.workers.attempts import MachineKind
+from spindleglade.tasks import run_forever
+from spindleglade.workers.attempts import MachineTypeCapacity
 
 log = logging.getLogger("spindleglade.fleet")
 
@@ -24,7 +32,7 @@
 MORE_TYPES = TYPES + "/"
 
 
-class TypeBook:
+class MachineTypeCatalog:
     def __init__(
         self,
         cloud: CloudClient,
@@ -38,23 +46,23 @@
         self._client = client
         self._replica = replica
         self._clock = clock
-        self._every = seconds(every_s)
-        self._leads = leads
+        self._refresh_interval = seconds(every_s)
+        self._is_leader = leads
         self.types: list[MachineType] = []
         # What the store holds, by key.
-        self._shared: dict[str, list[MachineType]] = {}
-        replica.listen(self.listener)
+        self._stored_types: dict[str, list[MachineType]] = {}
+        replica.subscribe(self.on_change)
 
-    def listener(self, key: str, value: bytes | None, mark: int) -> None:
+    def on_change(self, key: str, value: bytes | None, mod_revision: int) -> None:
         if value is None or not (key == TYPES or key.startswith(MORE_TYPES)):
             return
-        self._shared[key] = msgspec.json.decode(value, type=Types).types
+        self._stored_types[key] = msgspec.json.decode(value, type=MachineTypeList).types
         # The first is written with or after the others: with it all are known.
-        if TYPES in self._shared and not self._leads():
-            keys = sorted(self._shared, key=lambda shared: (len(shared), shared))
-            self.types = [entry for shared in keys for entry in self._shared[shared]]
+        if TYPES in self._stored_types and not self._is_leader():
+            keys = sorted(self._stored_types, key=lambda shared: (len(shared), shared))
+            self.types = [entry for shared in keys for entry in self._stored_types[shared]]
 
-    def shapes(self) -> list[MachineShape] | None:
+    def machine_shapes(self) -> list[MachineShape] | None:
         if not self.types:
             return None
         return [
@@ -62,28 +70,28 @@
             for entry in self.types
         ]
 
-    def kinds(self) -> dict[str, MachineKind]:
+    def capacities(self) -> dict[str, MachineTypeCapacity]:
         return {
-            entry.name: MachineKind(
+            entry.name: MachineTypeCapacity(
                 entry.cpus, entry.gpus, entry.memory_gb, entry.cache_gb, max(entry.pull_gb_per_s, 1e-3)
             )
             for entry in self.types
         }
 
     def start(self) -> None:
-        keep(self._clock, self._run, "types loop")
+        run_forever(self._clock, self._run, "types loop")
 
     async def _run(self) -> None:
         while True:
-            if self._leads() or not self.types:
-                await self._ask()
+            if self._is_leader() or not self.types:
+                await self._refresh()
             # While nothing is known nothing can be accepted, so it is asked for more often.
-            await sleep(self._clock, self._every if self.types else seconds(1))
+            await sleep(self._clock, self._refresh_interval if self.types else seconds(1))
 
-    async def _ask(self) -> None:
+    async def _refresh(self) -> None:
         try:
-            types = await self._cloud.types()
-        except (Refused, Silent) as error:
+            types = await self._cloud.list_machine_types()
+        except (CloudRequestRejectedError, CloudTimeoutError) as error:
             log.info("machine types not read reason=%s", error)
             return
         if not types:
@@ -92,33 +100,33 @@
         self.types = types
         if first:
             log.info("machine types known types=%s", ",".join(entry.name for entry in types))
-        if TYPES not in self._replica.marks and self._replica.loaded:
-            await self._share(types)
+        if TYPES not in self._replica.mod_revisions and self._replica.loaded:
+            await self._store(types)
 
-    async def _share(self, types: list[MachineType]) -> None:
+    async def _store(self, types: list[MachineType]) -> None:
         """Writes them once, in as many values as it takes; that which all versions read comes last, and as
         many types as fit are in it."""
         puts = [
-            Put(f"{MORE_TYPES}{number}" if number else TYPES, raw(Types(group)))
-            for number, group in enumerate(group_types(types, self._client.limits.value_bytes))
+            Put(f"{MORE_TYPES}{number}" if number else TYPES, encode_value(MachineTypeList(group)))
+            for number, group in enumerate(split_into_values(types, self._client.limits.value_bytes))
         ]
-        missing = [put for put in reversed(puts) if put.key not in self._replica.marks]
+        missing = [put for put in reversed(puts) if put.key not in self._replica.mod_revisions]
         most = self._client.limits.operations
         try:
             for at in range(0, len(missing), most):
                 part = missing[at : at + most]
-                result = await self._client.txn([Condition(put.key, 0) for put in part], part)
+                result = await self._client.compare_and_swap([Condition(put.key, 0) for put in part], part)
                 if not isinstance(result, Committed):
                     return
-        except (Unavailable, Unknown) as error:
+        except (NotAppliedError, OutcomeUnknownError) as error:
             log.info("machine types not shared reason=%s", error)
 
 
-def group_types(types: list[MachineType], value_bytes: int) -> list[list[MachineType]]:
+def split_into_values(types: list[MachineType], value_bytes: int) -> list[list[MachineType]]:
     """The types in order, as many to a value as fit."""
     groups: list[list[MachineType]] = [[]]
     for entry in types:
-        if groups[-1] and len(raw(Types([*groups[-1], entry]))) > value_bytes:
+        if groups[-1] and len(encode_value(MachineTypeList([*groups[-1], entry]))) > value_bytes:
             groups.append([])
         groups[-1].append(entry)
     return groups
--- a/spindleglade/leader.py
+++ b/spindleglade/leader.py
@@ -10,62 +10,62 @@
 
 from spindleglade.backfill.distributions import Bins, History, Predictor
 from spindleglade.backfill.planner import Planner
-from spindleglade.backfill.rounds import Rounds
+from spindleglade.backfill.rounds import PlanningLoop
 from spindleglade.backfill.snapshot import Plan
 from spindleglade.clock import Clock, seconds, sleep
 from spindleglade.fleet.client import CloudClient
-from spindleglade.fleet.manager import FleetManager
-from spindleglade.fleet.types import TypeBook
-from spindleglade.histories import HistoryRecorder
+from spindleglade.fleet.manager import Autoscaler
+from spindleglade.fleet.types import MachineTypeCatalog
+from spindleglade.histories import HistoryWriter
 from spindleglade.leadership.election import Term
-from spindleglade.loop import Loop
+from spindleglade.loop import PeriodicTask
 from spindleglade.pipelines import PipelineUpdater
 from spindleglade.settings import OperatorSettings, Platform
 from spindleglade.store.client import (
     Entry,
     Listing,
+    NotAppliedError,
+    OutcomeUnknownError,
+    RevisionCompactedError,
     StateClient,
-    TooOld,
-    Unavailable,
-    Unknown,
 )
 from spindleglade.store.replica import Replica
 from spindleglade.submissions.records import (
     DEPENDENCIES,
     HISTORY,
     JOBS,
-    PARTS,
+    OVERFLOW_RANGES,
     PREFIX,
-    TASKS,
-    Chunk,
+    TASK_RANGES,
     JobRecord,
-    chunk_key,
-    part_key,
-    split_chunk_key,
-    split_part_key,
+    TaskRangeRecord,
+    overflow_range_key,
+    range_key,
+    split_overflow_range_key,
+    split_range_key,
 )
 from spindleglade.submissions.views import JobViews
-from spindleglade.tasks import spawn
-from spindleglade.throttle import Throttle
-from spindleglade.web import Turns
-from spindleglade.workers.attempts import Deposed, Rules
-from spindleglade.workers.cancellation_bound import CancellationBound
-from spindleglade.workers.cluster import Cluster
-from spindleglade.workers.dispatch import Dispatcher
-from spindleglade.workers.messages import Report, ReportAnswer
-from spindleglade.workers.recorder import Recorder
+from spindleglade.tasks import run_in_background
+from spindleglade.throttle import LogThrottle
+from spindleglade.web import ConcurrencyLimiter
+from spindleglade.workers.attempts import StaleTokenError, WorkerPolicy
+from spindleglade.workers.cancellation_bound import CancellationFreshness
+from spindleglade.workers.cluster import ClusterState
+from spindleglade.workers.dispatch import CommandDispatcher
+from spindleglade.workers.messages import Heartbeat, HeartbeatResponse
+from spindleglade.workers.recorder import StateWriter
 
 log = logging.getLogger("spindleglade.leadership")
 
 # Between two passes of the upkeep, and between two records of the teams' histories.
-UPKEEP_EVERY = seconds(1)
-HISTORIES_EVERY = seconds(10)
+UPKEEP_INTERVAL = seconds(1)
+HISTORY_INTERVAL = seconds(10)
 # How soon records that could not be read are asked for again.
-READ_AGAIN_AFTER = seconds(0.3)
+RECOVERY_RETRY_DELAY = seconds(0.3)
 # How often the log says why nothing starts.
-STANDSTILL_LOGGED_EVERY = seconds(5)
+STALL_LOG_INTERVAL = seconds(5)
 # A leader that has not read all records after so long leaves it to a sibling.
-LONGEST_TAKEOVER = seconds(30)
+MAX_FAILOVER_DURATION = seconds(30)
 
 
 class Leader:
@@ -76,12 +76,12 @@
         settings: OperatorSettings,
         clock: Clock,
         compute: Callable[..., Awaitable[Any]],
-        machines: Turns,
+        machines: ConcurrencyLimiter,
         client: StateClient,
         cloud: CloudClient,
-        types: TypeBook,
+        types: MachineTypeCatalog,
         proven: Callable[[], bool],
-        bound: CancellationBound,
+        bound: CancellationFreshness,
         deposed: Callable[[str], None],
         replica: Replica,
         views: JobViews,
@@ -94,27 +94,27 @@
         self._machines = machines
         self._client = client
         self._cloud = cloud
-        self._types = types
-        self._proven = proven
-        self._bound = bound
-        self._deposed = deposed
+        self._machine_types = types
+        self._is_leadership_proven = proven
+        self._cancellation_freshness = bound
+        self._on_deposed = deposed
         self._replica = replica
         self._views = views
         self._ended = False
         # Everything has been read: from here on it orders.
-        self.active = False
-        self._elected = clock.now()
-        self._standstill_log = Throttle(clock, STANDSTILL_LOGGED_EVERY)
+        self.is_active = False
+        self._elected_at = clock.now()
+        self._stall_log = LogThrottle(clock, STALL_LOG_INTERVAL)
         # Whether starts and renewals were allowed when this was last looked at.
-        self._bound_held = True
+        self._renewals_were_permitted = True
         # Changes that came while everything was being read.
-        self._changes_while_reading: list[tuple[JobRecord, int]] = []
+        self._changes_during_recovery: list[tuple[JobRecord, int]] = []
         # Set once everything has been read.
         self._pipelines: PipelineUpdater | None = None
         # Jobs with a record that cannot be read.
-        self._unreadable: set[str] = set()
+        self._unreadable_jobs: set[str] = set()
         # Marks of the teams' histories in the store.
-        self._history_marks: dict[str, int] = {}
+        self._history_mod_revisions: dict[str, int] = {}
         bins = Bins(seconds(settings.backfill.first_bin_s), settings.backfill.bin_factor)
         self.predictor = Predictor(
             bins,
@@ -124,37 +124,37 @@
         )
 
     def start(self) -> None:
-        spawn(self._begin(), "taking over", self._deposed)
+        run_in_background(self._take_over(), "taking over", self._on_deposed)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self._ended = True
         if self._pipelines is not None:
             self._pipelines.stop()
-        if self.active:
-            self.active = False
-            self._rounds.stop()
-            self._recorder.stop()
+        if self.is_active:
+            self.is_active = False
+            self._planning_loop.stop()
+            self._state_writer.stop()
             self._dispatcher.stop()
-            self._fleet.stop()
+            self._autoscaler.stop()
             self._upkeep.stop()
-            self._histories.stop()
-            self._history_recorder.stop()
+            self._history_task.stop()
+            self._history_writer.stop()
 
-    async def _begin(self) -> None:
+    async def _take_over(self) -> None:
         """Reads all records, and begins to act by them."""
         listing = await self._read_listing()
         if listing is None:
             return
         now = self._clock.now()
-        self.cluster = cluster = self._new_cluster(now)
-        marks = self._read(cluster, listing.entries, now)
-        for record, mark in self._changes_while_reading:
-            self._take(cluster, record, mark)
-        self._pipelines = PipelineUpdater(cluster, self._views, self.predictor, self._clock, self._changed)
+        self.cluster = cluster = self._new_cluster_state(now)
+        mod_revisions = self._load_records(cluster, listing.entries, now)
+        for record, mod_revision in self._changes_during_recovery:
+            self._observe_job(cluster, record, mod_revision)
+        self._pipelines = PipelineUpdater(cluster, self._views, self.predictor, self._clock, self._on_changed)
         self._pipelines.update_all()
-        cluster.loaded()
-        self._make_parts(cluster, marks)
-        self.active = True
+        cluster.finish_loading()
+        self._create_components(cluster, mod_revisions)
+        self.is_active = True
         log.info(
             "took over token=%d jobs=%d placed=%d keys=%d",
             self.term.token,
@@ -162,11 +162,11 @@
             sum(len(job.placed) for job in cluster.jobs.values()),
             len(listing.entries),
         )
-        self._recorder.start()
-        self._rounds.start()
-        self._fleet.start()
+        self._state_writer.start()
+        self._planning_loop.start()
+        self._autoscaler.start()
         self._upkeep.start()
-        self._histories.start()
+        self._history_task.start()
 
     async def _read_listing(self) -> Listing | None:
         """All that the store holds; None if the term is over before it could be read."""
@@ -174,232 +174,243 @@
             try:
                 listing = await self._client.read_all(PREFIX)
                 return None if self._ended else listing
-            except (Unavailable, Unknown, TooOld) as error:
+            except (NotAppliedError, OutcomeUnknownError, RevisionCompactedError) as error:
                 log.info("records not read reason=%s", error)
-                await sleep(self._clock, READ_AGAIN_AFTER)
+                await sleep(self._clock, RECOVERY_RETRY_DELAY)
         return None
 
-    def _new_cluster(self, now: timedelta) -> Cluster:
+    def _new_cluster_state(self, now: timedelta) -> ClusterState:
         """A cluster state without jobs and machines."""
         workers = self._platform.params.workers
         own = self._settings.workers
-        rules = Rules(
+        rules = WorkerPolicy(
             workers.lease,
-            workers.report,
+            workers.heartbeat_interval,
             own.faulty_jobs,
             seconds(own.backoff_s),
             seconds(own.backoff_most_s),
             seconds(self._settings.backfill.overdue_s),
         )
-        return Cluster(self.term.token, rules, self._platform.teams, self._types.kinds(), self.predictor, now)
+        return ClusterState(
+            self.term.token,
+            rules,
+            self._platform.teams,
+            self._machine_types.capacities(),
+            self.predictor,
+            now,
+        )
 
-    def _make_parts(self, cluster: Cluster, marks: dict[str, int]) -> None:
+    def _create_components(self, cluster: ClusterState, mod_revisions: dict[str, int]) -> None:
         """All that acts on the cluster state; nothing is started yet."""
         own = self._settings.workers
-        self._recorder = Recorder(
+        self._state_writer = StateWriter(
             cluster,
             self._client,
             self._clock,
             self.term,
-            marks,
-            self._committed,
-            self._deposed,
-            self._replica.learn,
+            mod_revisions,
+            self._on_committed,
+            self._on_deposed,
+            self._replica.observe,
         )
-        self._dispatcher = Dispatcher(
+        self._dispatcher = CommandDispatcher(
             cluster,
             self._machines,
             self._clock,
             seconds(own.order_timeout_s),
-            self._deposed,
-            self._changed,
-            self._bound,
+            self._on_deposed,
+            self._on_changed,
+            self._cancellation_freshness,
         )
-        self._fleet = FleetManager(
+        self._autoscaler = Autoscaler(
             cluster,
             self._cloud,
             self._clock,
             self.term.token,
-            lambda: self._types.types,
+            lambda: self._machine_types.types,
             self._platform.params.zones,
             self._settings.fleet,
             own,
-            self._dispatcher.show,
-            self._machines.at_once // 2,
-            self._proven,
+            self._dispatcher.request_status,
+            self._machines.max_concurrent // 2,
+            self._is_leadership_proven,
             self._platform.soonest_start,
-            self._changed,
-            self._dispatcher.greet,
+            self._on_changed,
+            self._dispatcher.introduce_leader,
         )
-        self._rounds = Rounds(
+        self._planning_loop = PlanningLoop(
             cluster,
             Planner(self._settings.backfill.tau, self._settings.backfill.preempt),
             self._clock,
             self._compute,
             seconds(self._settings.backfill.round_s),
-            self._planned,
+            self._on_planned,
         )
-        self._upkeep = self._periodic("upkeep", self._keep, UPKEEP_EVERY)
-        self._history_recorder = HistoryRecorder(
-            cluster, self.predictor, self._client, self.term, self._history_marks, self._deposed
+        self._upkeep = self._periodic("upkeep", self._run_upkeep, UPKEEP_INTERVAL)
+        self._history_writer = HistoryWriter(
+            cluster, self.predictor, self._client, self.term, self._history_mod_revisions, self._on_deposed
         )
-        self._histories = self._periodic("histories", self._history_recorder.record, HISTORIES_EVERY)
+        self._history_task = self._periodic("histories", self._history_writer.record, HISTORY_INTERVAL)
 
-    def _periodic(self, name: str, one_pass: Callable[[], Awaitable[None]], every: timedelta) -> Loop:
+    def _periodic(self, name: str, one_pass: Callable[[], Awaitable[None]], every: timedelta) -> PeriodicTask:
         """A loop that waits so long before each pass."""
-        return Loop(self._clock, name, one_pass, partial(sleep, self._clock, every), waits_first=True)
+        return PeriodicTask(self._clock, name, one_pass, partial(sleep, self._clock, every), waits_first=True)
 
-    def _read(self, cluster: Cluster, entries: list[Entry], now: timedelta) -> dict[str, int]:
+    def _load_records(self, cluster: ClusterState, entries: list[Entry], now: timedelta) -> dict[str, int]:
         """Takes in what the store holds; returns the marks of the chunks. A record that cannot be read must
         not keep every node from leading: its job is left alone, neither placed, since its tasks may be on
         machines, nor tidied up."""
-        marks: dict[str, int] = {}
+        mod_revisions: dict[str, int] = {}
         records: list[tuple[JobRecord, int]] = []
-        chunks: list[tuple[str, int, Chunk]] = []
-        parts: list[tuple[str, int, Chunk]] = []
+        chunks: list[tuple[str, int, TaskRangeRecord]] = []
+        parts: list[tuple[str, int, TaskRangeRecord]] = []
         for entry in entries:
             if entry.key.startswith((JOBS, DEPENDENCIES)):
                 # The listing may be ahead of the watch, and the graph of dependencies is the replica's.
-                self._replica.learn(entry.key, bytes(entry.value), entry.mark)
+                self._replica.observe(entry.key, bytes(entry.value), entry.mod_revision)
         for entry in entries:
             try:
                 if entry.key.startswith(JOBS):
-                    records.append((msgspec.json.decode(entry.value, type=JobRecord), entry.mark))
-                elif entry.key.startswith(TASKS):
-                    job, number = split_chunk_key(entry.key)
-                    chunks.append((job, number, msgspec.json.decode(entry.value, type=Chunk)))
-                    marks[entry.key] = entry.mark
-                elif entry.key.startswith(PARTS):
-                    job, first = split_part_key(entry.key)
-                    parts.append((job, first, msgspec.json.decode(entry.value, type=Chunk)))
-                    marks[entry.key] = entry.mark
+                    records.append((msgspec.json.decode(entry.value, type=JobRecord), entry.mod_revision))
+                elif entry.key.startswith(TASK_RANGES):
+                    job, number = split_range_key(entry.key)
+                    chunks.append((job, number, msgspec.json.decode(entry.value, type=TaskRangeRecord)))
+                    mod_revisions[entry.key] = entry.mod_revision
+                elif entry.key.startswith(OVERFLOW_RANGES):
+                    job, first = split_overflow_range_key(entry.key)
+                    parts.append((job, first, msgspec.json.decode(entry.value, type=TaskRangeRecord)))
+                    mod_revisions[entry.key] = entry.mod_revision
                 elif entry.key.startswith(HISTORY):
-                    self._history_marks[entry.key] = entry.mark
+                    self._history_mod_revisions[entry.key] = entry.mod_revision
                     team = entry.key[len(HISTORY) :]
                     self.predictor.load(team, msgspec.json.decode(entry.value, type=History))
             except (msgspec.DecodeError, ValueError) as error:
                 log.error("record not understood key=%s reason=%s", entry.key, error)
                 if not entry.key.startswith(HISTORY):
-                    self._unreadable.add(entry.key.split("/")[2])
-        for record, mark in records:
-            self._take(cluster, record, mark)
+                    self._unreadable_jobs.add(entry.key.split("/")[2])
+        for record, mod_revision in records:
+            self._observe_job(cluster, record, mod_revision)
         # The parts say how far each value is to be believed, so all are known before any is taken in.
         for job, first, _ in parts:
-            if job not in self._unreadable:
-                cluster.learn_part(job, first)
+            if job not in self._unreadable_jobs:
+                cluster.add_overflow_range(job, first)
         for job, number, chunk in chunks:
-            if job in self._unreadable:
-                marks.pop(chunk_key(job, number), None)
+            if job in self._unreadable_jobs:
+                mod_revisions.pop(range_key(job, number), None)
             else:
-                cluster.load_chunk(job, number, chunk, now)
+                cluster.load_range(job, number, chunk, now)
         for job, first, chunk in parts:
-            if job in self._unreadable:
-                marks.pop(part_key(job, first), None)
+            if job in self._unreadable_jobs:
+                mod_revisions.pop(overflow_range_key(job, first), None)
             else:
-                cluster.load_part(job, first, chunk, now)
-        return marks
+                cluster.load_overflow_range(job, first, chunk, now)
+        return mod_revisions
 
-    def job_changed(self, record: JobRecord, mark: int) -> None:
+    def on_job_changed(self, record: JobRecord, mod_revision: int) -> None:
         if self._pipelines is None:
-            self._changes_while_reading.append((record, mark))
+            self._changes_during_recovery.append((record, mod_revision))
             return
-        self._take(self.cluster, record, mark)
-        self._changed()
+        self._observe_job(self.cluster, record, mod_revision)
+        self._on_changed()
 
-    def _take(self, cluster: Cluster, record: JobRecord, mark: int) -> None:
-        if record.spec.id in self._unreadable:
+    def _observe_job(self, cluster: ClusterState, record: JobRecord, mod_revision: int) -> None:
+        if record.spec.id in self._unreadable_jobs:
             return
         # The time of day differs a little from node to node; it may not make a job come from the future.
         age = timedelta(0)
         if record.accepted is not None:
             age = max(age, self._clock.utc() - record.accepted)
-        cluster.take_job(record, mark, self._clock.now(), age)
+        cluster.observe_job(record, mod_revision, self._clock.now(), age)
         if self._pipelines is not None:
             self._pipelines.update(record.spec.id)
 
-    def dependency_changed(self, job: str) -> None:
+    def on_dependency_changed(self, job: str) -> None:
         """The job was released, cancelled through an ancestor, or is now awaited by others."""
         if self._pipelines is not None:
-            self._pipelines.job_changed(job)
+            self._pipelines.on_job_changed(job)
 
     @property
-    def stalled(self) -> str | None:
+    def stall_reason(self) -> str | None:
         """Why this leader gets nothing done, if so: its records cannot be read, or one of its loops breaks
         again and again or does not come back."""
-        if self.active:
-            return self._recorder.stalled or self._rounds.stalled or self._fleet.stalled
-        if self._clock.now() - self._elected > LONGEST_TAKEOVER:
+        if self.is_active:
+            return (
+                self._state_writer.stall_reason
+                or self._planning_loop.stall_reason
+                or self._autoscaler.stall_reason
+            )
+        if self._clock.now() - self._elected_at > MAX_FAILOVER_DURATION:
             return "the records could not be read"
         return None
 
     @property
-    def unheard(self) -> bool:
-        return self.active and self._fleet.unheard
+    def is_unreachable_for_machines(self) -> bool:
+        return self.is_active and self._autoscaler.is_unreachable_for_machines
 
-    def hears_nothing_since(self, patience: timedelta) -> bool:
+    def receives_no_heartbeats(self, patience: timedelta) -> bool:
         """Whether there are machines, and none of them has been heard for so long."""
         with self.cluster.lock:
             machines = any(machine.address for machine in self.cluster.machines.values())
-        return machines and self._clock.now() - self.cluster.heard > patience
+        return machines and self._clock.now() - self.cluster.last_heartbeat_at > patience
 
-    def vouched(self, machines: list[str]) -> None:
-        if self.active:
-            self.cluster.vouch(machines, self._clock.now())
+    def on_leases_renewed_by_peer(self, machines: list[str]) -> None:
+        if self.is_active:
+            self.cluster.on_leases_renewed_by_peer(machines, self._clock.now())
 
-    def report(self, report: Report) -> ReportAnswer | None:
+    def on_heartbeat(self, report: Heartbeat) -> HeartbeatResponse | None:
         """The answer, or nothing where the worker's lease must not be renewed. What the report says is taken
         in all the same: the machines used to be given up as silent while they were only not answered."""
-        before = self.cluster.changes
-        holds = self._bound.holds
+        before = self.cluster.change_count
+        holds = self._cancellation_freshness.permits_renewals
         try:
-            orders = self.cluster.report(report, self._clock.now(), asked=holds)
-        except Deposed as error:
-            self._deposed(str(error))
+            orders = self.cluster.on_heartbeat(report, self._clock.now(), asked=holds)
+        except StaleTokenError as error:
+            self._on_deposed(str(error))
             return None
-        if self.cluster.changes != before:
-            self._changed()
-        return None if orders is None or not holds else ReportAnswer(self.term.token, orders)
+        if self.cluster.change_count != before:
+            self._on_changed()
+        return None if orders is None or not holds else HeartbeatResponse(self.term.token, orders)
 
-    def _changed(self) -> None:
-        if self.active:
-            self._recorder.wake()
-            self._rounds.wake()
-            self._dispatcher.send()
+    def _on_changed(self) -> None:
+        if self.is_active:
+            self._state_writer.wake()
+            self._planning_loop.wake()
+            self._dispatcher.dispatch()
 
-    def _committed(self) -> None:
-        if self.active:
-            self._dispatcher.send()
+    def _on_committed(self) -> None:
+        if self.is_active:
+            self._dispatcher.dispatch()
 
-    def _planned(self, plan: Plan, placed: int) -> None:
-        self._fleet.demand(plan)
+    def _on_planned(self, plan: Plan, placed: int) -> None:
+        self._autoscaler.on_plan(plan)
         if placed:
-            self._recorder.wake()
-        if plan.stops:
-            self._dispatcher.send()
+            self._state_writer.wake()
+        if plan.preemptions:
+            self._dispatcher.dispatch()
 
-    async def _keep(self) -> None:
+    async def _run_upkeep(self) -> None:
         """Rounds even if nothing happens."""
-        self._log_standstill()
-        self._log_bound()
-        self.cluster.learn_kinds(self._types.kinds())
-        self.cluster.ordinary_first = self._fleet.ready
-        self._changed()
+        self._log_stall()
+        self._log_renewal_permission()
+        self.cluster.set_machine_types(self._machine_types.capacities())
+        self.cluster.prefers_on_demand = self._autoscaler.needs_headroom
+        self._on_changed()
 
-    def _log_standstill(self) -> None:
+    def _log_stall(self) -> None:
         """Says why nothing starts, while work waits and nothing has started for a while."""
         now = self._clock.now()
-        if now - self.cluster.latest_start < STANDSTILL_LOGGED_EVERY or not self._standstill_log.allows():
+        if now - self.cluster.latest_start < STALL_LOG_INTERVAL or not self._stall_log.allows():
             return
-        standstill = self.cluster.standstill(now)
+        standstill = self.cluster.scheduling_stall(now)
         if standstill is not None:
             idle_s = (now - self.cluster.latest_start).total_seconds()
-            log.info("nothing started for_s=%.0f %s %s", idle_s, standstill, self._fleet.summary)
+            log.info("nothing started for_s=%.0f %s %s", idle_s, standstill, self._autoscaler.summary)
 
-    def _log_bound(self) -> None:
+    def _log_renewal_permission(self) -> None:
         """Says when starts and renewals begin and cease to be withheld."""
-        holds = self._bound.holds
-        if holds != self._bound_held:
-            self._bound_held = holds
+        holds = self._cancellation_freshness.permits_renewals
+        if holds != self._renewals_were_permitted:
+            self._renewals_were_permitted = holds
             if holds:
                 log.info("starts and renewals allowed token=%d", self.term.token)
             else:
--- a/spindleglade/leadership/election.py
+++ b/spindleglade/leadership/election.py
@@ -16,17 +16,17 @@
 from spindleglade.store.client import (
     Committed,
     Condition,
-    LeaseGone,
+    LeaseExpiredError,
+    NotAppliedError,
+    OutcomeUnknownError,
     Put,
+    RateLimitedError,
     StateClient,
-    TooManyRequests,
-    Unavailable,
-    Unknown,
-    raw,
+    encode_value,
 )
-from spindleglade.store.replica import Replica, Unconfirmed
+from spindleglade.store.replica import Replica, StaleReplicaError
 from spindleglade.submissions.records import PREFIX
-from spindleglade.tasks import keep, spawn
+from spindleglade.tasks import run_forever, run_in_background
 
 log = logging.getLogger("spindleglade.leadership")
 
@@ -40,7 +40,7 @@
 
 
 class LeaderRecord(msgspec.Struct, frozen=True):
-    node: str
+    controller: str = msgspec.field(name="node")
     token: int
 
 
@@ -52,12 +52,12 @@
     """A won election: the token given to workers, and the condition on every write."""
 
     token: int
-    mark: int
+    mod_revision: int
     lease: int
 
     @property
     def condition(self) -> Condition:
-        return Condition(LEADER, self.mark)
+        return Condition(LEADER, self.mod_revision)
 
 
 class Election:
@@ -73,46 +73,46 @@
         may_campaign: Callable[[], bool] = lambda: True,
         rng: random.Random | None = None,
     ) -> None:
-        self._node = node
+        self._controller = node
         self._client = client
         self._replica = replica
         self._clock = clock
-        self._lease = lease
-        self._won = won
-        self._lost = lost
+        self._lease_ttl = lease
+        self._on_elected = won
+        self._on_deposed = lost
         self._may_campaign = may_campaign
         self._rng = rng or random.Random()
         self.term: Term | None = None
         self.leader: LeaderRecord | None = None
         # Mark of the latest change of the leader key that is known.
-        self._changed = 0
+        self._leader_key_revision = 0
         self._token = 0
-        self._suspected: int | None = None
+        self._ended_leader_token: int | None = None
         self._campaigning = False
         # The highest token seen anywhere: in the store, from siblings, in workers' reports.
-        self.highest = 0
-        replica.listen(self.listener)
+        self.highest_token = 0
+        replica.subscribe(self.on_change)
 
     def start(self) -> None:
-        keep(self._clock, self._run, "election")
+        run_forever(self._clock, self._run, "election")
 
-    def listener(self, key: str, value: bytes | None, mark: int) -> None:
+    def on_change(self, key: str, value: bytes | None, mod_revision: int) -> None:
         if key == LEADER:
-            self._changed = max(self._changed, mark)
+            self._leader_key_revision = max(self._leader_key_revision, mod_revision)
             self.leader = None if value is None else msgspec.json.decode(value, type=LeaderRecord)
-            if self.term is not None and mark > self.term.mark:
+            if self.term is not None and mod_revision > self.term.mod_revision:
                 self.step_down("the leader key changed")
             if self.leader is not None:
-                self.saw_token(self.leader.token)
+                self.observe_token(self.leader.token)
             elif not self._campaigning:
                 # Without this the vacancy would last until the next turn of the loop.
-                spawn(self._campaign(), "campaign")
+                run_in_background(self._campaign(), "campaign")
         elif key == TOKEN and value is not None:
             self._token = msgspec.json.decode(value, type=TokenRecord).token
-            self.saw_token(self._token)
+            self.observe_token(self._token)
 
-    def saw_token(self, token: int) -> None:
-        self.highest = max(self.highest, token)
+    def observe_token(self, token: int) -> None:
+        self.highest_token = max(self.highest_token, token)
         if self.term is not None and token > self.term.token:
             self.step_down(f"token {token} seen")
 
@@ -121,7 +121,7 @@
             return
         log.info("no longer leader token=%d reason=%s", self.term.token, reason)
         self.term = None
-        self._lost(reason)
+        self._on_deposed(reason)
 
     async def resign(self, reason: str) -> None:
         """Gives the lease back, so that another need not wait for it to end."""
@@ -130,87 +130,89 @@
             return
         self.step_down(reason)
         try:
-            await self._client.drop(term.lease)
-        except (Unavailable, Unknown) as error:
+            await self._client.revoke_lease(term.lease)
+        except (NotAppliedError, OutcomeUnknownError) as error:
             log.info("lease not given back reason=%s", error)
 
     async def _run(self) -> None:
         while True:
             if self.term is not None:
                 renewed = await self._renew(self.term)
-                await sleep(self._clock, self._lease * (RENEW_SHARE if renewed else RETRY_SHARE))
+                await sleep(self._clock, self._lease_ttl * (RENEW_SHARE if renewed else RETRY_SHARE))
             else:
                 await self._campaign()
                 if self.term is None:
                     # Until everything is read nobody can tell whether there is a leader; a node that has just
                     # come back may be the only one.
-                    await sleep(self._clock, self._lease / (6 if self._replica.loaded else 60))
+                    await sleep(self._clock, self._lease_ttl / (6 if self._replica.loaded else 60))
 
     async def _renew(self, term: Term) -> bool:
         """Whether nothing is to be tried again soon."""
         try:
-            await self._client.touch(term.lease)
-        except LeaseGone:
+            await self._client.keep_alive(term.lease)
+        except LeaseExpiredError:
             if self.term is term:
                 self.step_down("lease ended")
-        except (Unavailable, Unknown) as error:
+        except (NotAppliedError, OutcomeUnknownError) as error:
             # Not a reason to step down: in an outage of the store nobody else can lead either, and where
             # only this node is refused its writes fail by their condition.
             log.info("lease not renewed reason=%s", error)
-            if isinstance(error, TooManyRequests):
+            if isinstance(error, RateLimitedError):
                 # Everything else of this node yields until the next try has had its turn.
-                self._client.hold_back(self._lease * RETRY_SHARE * 2)
+                self._client.pause_ordinary_requests(self._lease_ttl * RETRY_SHARE * 2)
             return False
         return True
 
-    def suspect(self, node: str) -> None:
+    def on_peer_process_ended(self, node: str) -> None:
         """The node's process seems to have ended. If it leads, its key is taken over without waiting for the
         lease: the transaction is conditional on the key's mark, and so is every write of the leader before
         us, so a mistake costs a change of leader and nothing else."""
-        if self.leader is not None and self.leader.node == node and self.term is None:
-            self._suspected = self.leader.token
-            spawn(self._campaign(), "campaign")
+        if self.leader is not None and self.leader.controller == node and self.term is None:
+            self._ended_leader_token = self.leader.token
+            run_in_background(self._campaign(), "campaign")
 
-    def _vacant(self) -> bool:
+    def _is_vacant(self) -> bool:
         # A key under our own name that we do not hold is left from this node's previous life.
         return self._replica.loaded and (
-            self.leader is None or self.leader.node == self._node or self.leader.token == self._suspected
+            self.leader is None
+            or self.leader.controller == self._controller
+            or self.leader.token == self._ended_leader_token
         )
 
     async def _campaign(self) -> None:
-        if self._campaigning or self.term is not None or not self._vacant() or not self._may_campaign():
+        if self._campaigning or self.term is not None or not self._is_vacant() or not self._may_campaign():
             return
         self._campaigning = True
         try:
             # ReportBalancer the candidates, so that one usually wins before the others ask.
             await sleep(self._clock, timedelta(seconds=self._rng.uniform(0, 0.05)))
-            await self._replica.confirm()
-            if not self._vacant():
+            await self._replica.catch_up()
+            if not self._is_vacant():
                 return
             # As they were when the place was found vacant: while the lease is asked for another may be
             # elected, and with the marks of then this node would depose it at once.
-            when = [Condition(key, self._replica.marks.get(key, 0)) for key in (LEADER, TOKEN)]
-            lease = await self._client.grant(self._lease)
-            token = max(self._token, self.highest) + 1
-            result = await self._client.txn(
-                when,
+            conditions = [Condition(key, self._replica.mod_revisions.get(key, 0)) for key in (LEADER, TOKEN)]
+            lease = await self._client.grant_lease(self._lease_ttl)
+            token = max(self._token, self.highest_token) + 1
+            result = await self._client.compare_and_swap(
+                conditions,
                 [
-                    Put(LEADER, raw(LeaderRecord(self._node, token)), lease),
-                    Put(TOKEN, raw(TokenRecord(token))),
+                    Put(LEADER, encode_value(LeaderRecord(self._controller, token)), lease),
+                    Put(TOKEN, encode_value(TokenRecord(token))),
                 ],
                 urgent=True,
             )
             if not isinstance(result, Committed):
-                await self._client.drop(lease)
-            elif self._changed > result.turn or self.highest > token:
+                await self._client.revoke_lease(lease)
+            elif self._leader_key_revision > result.revision or self.highest_token > token:
                 # The answer was slow, and what ended our term is known already: nothing would tell it again.
                 log.info("not elected reason=the term was over before its answer came token=%d", token)
-                await self._client.drop(lease)
+                await self._client.revoke_lease(lease)
             else:
-                self.term = Term(token, result.turn, lease)
+                self.term = Term(token, result.revision, lease)
                 log.info("leader token=%d", token)
-                self._won(self.term)
-        except (Unavailable, Unknown, Unconfirmed, LeaseGone) as error:
+                self._on_elected(self.term)
+        except (NotAppliedError, OutcomeUnknownError, StaleReplicaError, LeaseExpiredError) as error:
             log.info("not elected reason=%s", error)
         finally:
             self._campaigning = False
--- a/spindleglade/leadership/monitor.py
+++ b/spindleglade/leadership/monitor.py
@@ -11,47 +11,47 @@
 
 from spindleglade.clock import ZERO, Clock, seconds, sleep
 from spindleglade.leadership.election import Election
-from spindleglade.tasks import keep
+from spindleglade.tasks import run_forever
 
 log = logging.getLogger("spindleglade.leadership")
 
-LOOK_EVERY = seconds(0.5)
+CHECK_INTERVAL = seconds(0.5)
 # A look that comes so late shows that this process is busy.
-LATE_LOOK = seconds(0.75)
+LATE_CHECK = seconds(0.75)
 # Leadership must not go round in circles where all nodes fare alike: how soon one resigns once more. It is
 # doubled each time that a leader got nothing done, up to the second figure.
-RESIGN_AGAIN = timedelta(seconds=60)
-LONGEST_RESIGN_AGAIN = timedelta(minutes=16)
+MIN_RESIGN_INTERVAL = timedelta(seconds=60)
+MAX_RESIGN_INTERVAL = timedelta(minutes=16)
 # Reports that machines must have missed to be taken for not heard, and the least time for that.
-MISSED_REPORTS = 3
-LEAST_PATIENCE = seconds(3)
+MISSED_HEARTBEATS = 3
+MIN_SILENCE_LIMIT = seconds(3)
 
 
 class MonitoredLeader(Protocol):
     """What is looked at of a leader."""
 
-    active: bool
+    is_active: bool
 
     @property
-    def stalled(self) -> str | None: ...
+    def stall_reason(self) -> str | None: ...
 
     @property
-    def unheard(self) -> bool: ...
+    def is_unreachable_for_machines(self) -> bool: ...
 
-    def hears_nothing_since(self, patience: timedelta) -> bool: ...
+    def receives_no_heartbeats(self, patience: timedelta) -> bool: ...
 
 
-class Surroundings(Protocol):
+class Connectivity(Protocol):
     """What a node sees of the others."""
 
     @property
-    def has_siblings(self) -> bool: ...
+    def has_peers(self) -> bool: ...
 
-    def hears_a_sibling(self) -> bool: ...
+    def reaches_a_peer(self) -> bool: ...
 
-    def hears_a_serving_sibling(self) -> bool: ...
+    def reaches_a_serving_peer(self) -> bool: ...
 
-    def is_proven(self) -> bool: ...
+    def is_leadership_proven(self) -> bool: ...
 
 
 class LeadershipMonitor:
@@ -61,7 +61,7 @@
         self,
         clock: Clock,
         election: Election,
-        surroundings: Surroundings,
+        surroundings: Connectivity,
         leader: Callable[[], MonitoredLeader | None],
         report: timedelta,
         proof_lasts: timedelta,
@@ -70,83 +70,85 @@
         to lead a node may take itself for the leader."""
         self._clock = clock
         self._election = election
-        self._surroundings = surroundings
+        self._connectivity = surroundings
         self._leader = leader
-        self._patience = max(report * MISSED_REPORTS, LEAST_PATIENCE)
-        self._proof_lasts = proof_lasts
+        self._silence_limit = max(report * MISSED_HEARTBEATS, MIN_SILENCE_LIMIT)
+        self._proof_validity = proof_lasts
         # Until when this node does not campaign.
-        self._stand_back_until = ZERO
+        self._no_campaign_until = ZERO
         # When it last made way for a sibling, and how long it must lead before it does so as stalled again.
-        self._made_way_at = -LONGEST_RESIGN_AGAIN
-        self._stall_again = RESIGN_AGAIN
+        self._resigned_at = -MAX_RESIGN_INTERVAL
+        self._min_stall_resign_interval = MIN_RESIGN_INTERVAL
         # When this process last ran late.
-        self._late_at = timedelta(days=-1)
+        self._ran_late_at = timedelta(days=-1)
         # Since when this node has had neither the store nor a sibling; None if it has one of them.
-        self.cut_off_since: timedelta | None = None
+        self.isolated_since: timedelta | None = None
 
     def start(self) -> None:
         """Begins to look."""
-        keep(self._clock, self._run, "leadership monitor")
+        run_forever(self._clock, self._run, "leadership monitor")
 
     @property
     def may_campaign(self) -> bool:
         """Whether the node may stand for election."""
-        return self._clock.now() >= self._stand_back_until
+        return self._clock.now() >= self._no_campaign_until
 
     async def _run(self) -> None:
         while True:
             before = self._clock.now()
-            await sleep(self._clock, LOOK_EVERY)
+            await sleep(self._clock, CHECK_INTERVAL)
             now = self._clock.now()
-            if now - before > LATE_LOOK:
+            if now - before > LATE_CHECK:
                 # Busy, or on a slow processor: what it has not heard may only be late. The last node that all
                 # workers could reach once stepped down for being slow, and every lease ran out.
-                self._late_at = now
-            if now - self._late_at >= self._proof_lasts:
-                await self._look(now)
+                self._ran_late_at = now
+            if now - self._ran_late_at >= self._proof_validity:
+                await self._check(now)
 
-    async def _look(self, now: timedelta) -> None:
-        self._look_for_cut(now)
+    async def _check(self, now: timedelta) -> None:
+        self._check_isolation(now)
         leader = self._leader()
-        if leader is None or not self._surroundings.has_siblings:
+        if leader is None or not self._connectivity.has_peers:
             return
-        stalled = leader.stalled
+        stalled = leader.stall_reason
         if stalled is not None:
-            if await self._make_way(f"stalled: {stalled}", self._stall_again):
-                self._stall_again = min(self._stall_again * 2, LONGEST_RESIGN_AGAIN)
-        elif not leader.active:
+            if await self._resign_for_peer(f"stalled: {stalled}", self._min_stall_resign_interval):
+                self._min_stall_resign_interval = min(
+                    self._min_stall_resign_interval * 2, MAX_RESIGN_INTERVAL
+                )
+        elif not leader.is_active:
             return
-        elif leader.unheard:
+        elif leader.is_unreachable_for_machines:
             # What it sent straight to them may arrive once the cut is over; the next leader's token is higher
             # by then, and a start that never came is given out again.
-            await self._make_way("machines do not hear it, though they are heard", RESIGN_AGAIN)
-        elif leader.hears_nothing_since(self._patience) and not self._surroundings.hears_a_sibling():
-            self._stand_back(now)
+            await self._resign_for_peer("machines do not hear it, though they are heard", MIN_RESIGN_INTERVAL)
+        elif leader.receives_no_heartbeats(self._silence_limit) and not self._connectivity.reaches_a_peer():
+            self._pause_campaigning(now)
             await self._election.resign("hears neither machines nor siblings")
 
-    def _look_for_cut(self, now: timedelta) -> None:
+    def _check_isolation(self, now: timedelta) -> None:
         """A node that has lost the store and all siblings does not lead, though machines still reach it:
         another leads by now, or will, and nothing that this one decides can be recorded."""
-        surroundings = self._surroundings
-        reached = not surroundings.has_siblings or surroundings.hears_a_sibling()
-        if reached or surroundings.is_proven():
-            self.cut_off_since = None
-        elif self.cut_off_since is None:
-            self.cut_off_since = now
+        surroundings = self._connectivity
+        reached = not surroundings.has_peers or surroundings.reaches_a_peer()
+        if reached or surroundings.is_leadership_proven():
+            self.isolated_since = None
+        elif self.isolated_since is None:
+            self.isolated_since = now
             reason = "cut off from the store and all siblings"
             log.info(reason)
             self._election.step_down(reason)
 
-    async def _make_way(self, reason: str, again: timedelta) -> bool:
+    async def _resign_for_peer(self, reason: str, again: timedelta) -> bool:
         """Resigns for a sibling that may do better, if one reaches the store and the last time was longer ago
         than `again`. Returns whether it did."""
         now = self._clock.now()
-        if now - self._made_way_at <= again or not self._surroundings.hears_a_serving_sibling():
+        if now - self._resigned_at <= again or not self._connectivity.reaches_a_serving_peer():
             return False
-        self._made_way_at = now
-        self._stand_back(now)
+        self._resigned_at = now
+        self._pause_campaigning(now)
         await self._election.resign(reason)
         return True
 
-    def _stand_back(self, now: timedelta) -> None:
-        self._stand_back_until = now + self._patience * 2
+    def _pause_campaigning(self, now: timedelta) -> None:
+        self._no_campaign_until = now + self._silence_limit * 2
--- a/spindleglade/leadership/statements.py
+++ b/spindleglade/leadership/statements.py
@@ -18,15 +18,15 @@
 
 
 @dataclass(slots=True)
-class _Sibling:
+class _PeerProcess:
     # The process, and since when it has been heard.
     process: str
-    since: timedelta
+    first_heard_at: timedelta
     # When it was asked what it last stated.
-    stated: timedelta | None = None
+    complete_as_of: timedelta | None = None
 
 
-class Statements:
+class PeerCancellationLog:
     def __init__(
         self,
         clock: Clock,
@@ -36,35 +36,35 @@
     ) -> None:
         self._clock = clock
         # None: it has not been heard yet.
-        self._siblings: dict[str, _Sibling | None] = dict.fromkeys(siblings)
-        self._confirmed = confirmed
-        self._learn = learn
+        self._peers: dict[str, _PeerProcess | None] = dict.fromkeys(siblings)
+        self._replica_current_as_of = confirmed
+        self._observe_cancellation = learn
 
-    def heard(
+    def on_heartbeat(
         self, node: str, process: str, aborts: list[tuple[str, int]] | None, asked: timedelta | None
     ) -> None:
         """A sibling's word: which process it is, and the cancellations it knows of with their marks, if it
         was asked for them at `asked`."""
-        if node not in self._siblings:
+        if node not in self._peers:
             return
-        sibling = self._siblings[node]
+        sibling = self._peers[node]
         if sibling is None or sibling.process != process:
-            sibling = self._siblings[node] = _Sibling(process, self._clock.now())
-        for job, mark in aborts or ():
-            self._learn(job, mark)
+            sibling = self._peers[node] = _PeerProcess(process, self._clock.now())
+        for job, mod_revision in aborts or ():
+            self._observe_cancellation(job, mod_revision)
         if aborts is not None and asked is not None:
-            sibling.stated = asked
+            sibling.complete_as_of = asked
 
     @property
-    def proven(self) -> timedelta | None:
+    def complete_as_of(self) -> timedelta | None:
         """When this node last asked whether it knew all cancellations and was told so, by the store or by
         all siblings."""
-        confirmed = self._confirmed()
-        if confirmed is None or not self._siblings:
+        confirmed = self._replica_current_as_of()
+        if confirmed is None or not self._peers:
             return confirmed
         oldest = self._clock.now()
-        for sibling in self._siblings.values():
-            if sibling is None or sibling.stated is None or sibling.since > confirmed:
+        for sibling in self._peers.values():
+            if sibling is None or sibling.complete_as_of is None or sibling.first_heard_at > confirmed:
                 return confirmed
-            oldest = min(oldest, sibling.stated)
+            oldest = min(oldest, sibling.complete_as_of)
         return max(confirmed, oldest)
--- a/spindleglade/leadership/test_leadership.py
+++ b/spindleglade/leadership/test_leadership.py
@@ -11,23 +11,23 @@
 from spindleglade.clock import ManualClock, seconds
 from spindleglade.leadership.election import LEADER, RETRY_SHARE, Election, LeaderRecord
 from spindleglade.leadership.links import (
-    Forward,
-    Forwarded,
-    Link,
-    LinkDown,
-    Ping,
-    Relay,
-    Relayed,
+    HeartbeatRelayRequest,
+    HeartbeatRelayResponse,
+    PeerConnection,
+    PeerHeartbeat,
+    PeerUnreachableError,
+    UserRequestForward,
+    UserRequestForwardResponse,
     decode_message,
 )
-from spindleglade.settings.platform import Sibling
-from spindleglade.store.client import Committed, Condition, Refused, TooManyRequests, Unavailable
+from spindleglade.settings.platform import Peer
+from spindleglade.store.client import Committed, Condition, ConditionFailed, NotAppliedError, RateLimitedError
 from tests.world import World
 
 numbers = st.integers(0, (1 << 63) - 1)
 messages = st.one_of(
     st.builds(
-        Ping,
+        PeerHeartbeat,
         st.text(),
         numbers,
         st.booleans(),
@@ -37,10 +37,10 @@
         numbers,
         st.none() | st.lists(st.tuples(st.text(), numbers)),
     ),
-    st.builds(Relay, numbers, st.lists(st.binary())),
-    st.builds(Relayed, numbers, st.none() | st.lists(st.binary())),
-    st.builds(Forward, numbers, st.text(), st.text(), st.binary()),
-    st.builds(Forwarded, numbers, st.integers(100, 599), st.none() | numbers, st.binary()),
+    st.builds(HeartbeatRelayRequest, numbers, st.lists(st.binary())),
+    st.builds(HeartbeatRelayResponse, numbers, st.none() | st.lists(st.binary())),
+    st.builds(UserRequestForward, numbers, st.text(), st.text(), st.binary()),
+    st.builds(UserRequestForwardResponse, numbers, st.integers(100, 599), st.none() | numbers, st.binary()),
 )
 
 
@@ -66,7 +66,7 @@
 
 def test_a_sibling_of_the_version_before_is_understood_and_states_nothing():
     ping = decode_message(msgspec.msgpack.encode(["ping", "node-1", 3, True, 12, 40]))
-    assert (ping.node, ping.workers, ping.process, ping.aborts) == ("node-1", 40, "", None)
+    assert (ping.controller, ping.workers, ping.process, ping.cancellations) == ("node-1", 40, "", None)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -78,13 +78,13 @@
     won: list[int] = []
 
     def watch(node):
-        before = node.election._won
+        before = node.election._on_elected
 
         def note(term):
             won.append(term.token)
             before(term)
 
-        node.election._won = note
+        node.election._on_elected = note
 
     for node in world.nodes.values():
         watch(node)
@@ -105,7 +105,7 @@
             world.refused.clear()
     world.run(seconds(10))
     assert won == sorted(set(won)) and len(won) >= 2
-    assert sum(node.leads for node in world.nodes.values()) == 1
+    assert sum(node.is_leader for node in world.nodes.values()) == 1
 
 
 def test_a_deposed_leaders_writes_fail():
@@ -117,14 +117,14 @@
     world.refused.add(world.node_names[leader])
     world.cut(world.node_names[leader], world.node_names, False, seconds(9))
     for _ in range(80):
-        if sum(other.leads for other in world.nodes.values()) == 2:
+        if sum(other.is_leader for other in world.nodes.values()) == 2:
             break
         world.run(seconds(0.1))
-    assert node.leads and sum(other.leads for other in world.nodes.values()) == 2
+    assert node.is_leader and sum(other.is_leader for other in world.nodes.values()) == 2
     job = world.submit(1, threads=2, run_s=1.0)
     world.refused.clear()
     world.run(seconds(15))
-    assert not node.leads and world.told[job] == "pending"
+    assert not node.is_leader and world.told[job] == "pending"
     world.poll(job)
     world.run(seconds(1))
     assert world.told[job] == "done"
@@ -138,7 +138,7 @@
     name = world.node_names[leader]
     world.cut(name, [*world.node_names, "state"], False, seconds(30))
     world.run(seconds(6))
-    assert not world.nodes[name].leads and world.leader() not in (None, leader)
+    assert not world.nodes[name].is_leader and world.leader() not in (None, leader)
 
 
 def test_who_is_elected_first_is_not_deposed_by_the_next():
@@ -146,25 +146,25 @@
     within 10 ms of a start."""
 
     class Replica:
-        loaded, marks = True, {}
+        loaded, mod_revisions = True, {}
 
-        def listen(self, listener):
-            self.listener = listener
+        def subscribe(self, on_change):
+            self.on_change = on_change
 
-        async def confirm(self):
+        async def catch_up(self):
             pass
 
     class Store:
-        async def grant(self, ttl):
-            replica.marks[LEADER] = 9
-            replica.listener(LEADER, msgspec.json.encode(LeaderRecord("other", 1)), 9)
+        async def grant_lease(self, ttl):
+            replica.mod_revisions[LEADER] = 9
+            replica.on_change(LEADER, msgspec.json.encode(LeaderRecord("other", 1)), 9)
             return 5
 
-        async def txn(self, when, writes, urgent=False):
-            asked.extend(when)
-            return Refused(frozenset([LEADER]), 9)
+        async def compare_and_swap(self, conditions, writes, urgent=False):
+            asked.extend(conditions)
+            return ConditionFailed(frozenset([LEADER]), 9)
 
-        async def drop(self, lease):
+        async def revoke_lease(self, lease):
             pass
 
     asked, replica, clock = [], Replica(), ManualClock()
@@ -179,28 +179,28 @@
     took office although it knew its successor, and only a further change would have ended that."""
 
     class Replica:
-        loaded, marks = True, {}
+        loaded, mod_revisions = True, {}
 
-        def listen(self, listener):
-            self.listener = listener
+        def subscribe(self, on_change):
+            self.on_change = on_change
 
-        async def confirm(self):
+        async def catch_up(self):
             pass
 
     class Store:
-        async def grant(self, ttl):
+        async def grant_lease(self, ttl):
             return 5
 
-        async def txn(self, when, writes, urgent=False):
-            replica.listener(LEADER, msgspec.json.encode(LeaderRecord("me", 1)), 9)
-            replica.listener(LEADER, None if later is None else msgspec.json.encode(later), 10)
+        async def compare_and_swap(self, conditions, writes, urgent=False):
+            replica.on_change(LEADER, msgspec.json.encode(LeaderRecord("me", 1)), 9)
+            replica.on_change(LEADER, None if later is None else msgspec.json.encode(later), 10)
             return Committed(9)
 
-        async def drop(self, lease):
+        async def revoke_lease(self, lease):
             pass
 
-        async def touch(self, lease):
-            raise Unavailable("503")
+        async def keep_alive(self, lease):
+            raise NotAppliedError("503")
 
     won, replica, clock = [], Replica(), ManualClock()
     election = Election("me", Store(), replica, clock, seconds(4), won.append, None, lambda: not won)
@@ -216,7 +216,7 @@
     name = world.node_names[leader]
     world.kill_node(leader)
     for node in world.nodes.values():
-        node.election.suspect(name)
+        node.election.on_peer_process_ended(name)
     world.run(seconds(0.5))
     assert world.leader() not in (None, leader)
 
@@ -228,9 +228,9 @@
     job = world.submit(1, threads=3, run_s=3.0)
     world.run(seconds(4))
     other = world.nodes[world.node_names[(leader + 1) % 3]]
-    other.election.suspect(world.node_names[leader])
+    other.election.on_peer_process_ended(world.node_names[leader])
     world.run(seconds(20))
-    assert sum(node.leads for node in world.nodes.values()) == 1
+    assert sum(node.is_leader for node in world.nodes.values()) == 1
     world.poll(job)
     world.run(seconds(1))
     assert world.told[job] == "done"
@@ -240,31 +240,31 @@
     """Renewed each quarter of the lease, it ended after four refusals; other requests made them likely."""
 
     class Replica:
-        loaded, marks = True, {}
+        loaded, mod_revisions = True, {}
 
-        def listen(self, listener):
+        def subscribe(self, on_change):
             pass
 
-        async def confirm(self):
+        async def catch_up(self):
             pass
 
     class Store:
         renewed, refused, held = seconds(0), 0, []
 
-        async def grant(self, ttl):
+        async def grant_lease(self, ttl):
             return 5
 
-        async def txn(self, when, writes, urgent=False):
+        async def compare_and_swap(self, conditions, writes, urgent=False):
             return Committed(9)
 
-        async def touch(self, lease):
+        async def keep_alive(self, lease):
             assert clock.now() - self.renewed < seconds(4)
             if self.refused:
                 self.refused -= 1
-                raise TooManyRequests("429")
+                raise RateLimitedError("429")
             self.renewed, self.refused = clock.now(), 8
 
-        def hold_back(self, length):
+        def pause_ordinary_requests(self, length):
             self.held.append(length)
 
     store, clock = Store(), ManualClock()
@@ -295,8 +295,8 @@
     """A process that goes on after 20 s first reads what its siblings said before: it would have taken that
     for a proof that it still leads."""
     clock, wire = ManualClock(), Wire()
-    link = Link(None, clock, Sibling("other", "a", "10.0.0.1:1"), seconds(0.5), lambda turn: ping)
-    ping = Ping("other", 1, False, 0)
+    link = PeerConnection(None, clock, Peer("other", "a", "10.0.0.1:1"), seconds(0.5), lambda revision: ping)
+    ping = PeerHeartbeat("other", 1, False, 0)
 
     async def connect(host, port):
         link._connection = wire
@@ -304,27 +304,29 @@
     link._connect = connect
     link.start()
     clock.advance(seconds(0.1))
-    link._received(wire, ping)
-    assert link.shown == seconds(0)
+    link._on_message(wire, ping)
+    assert link.acknowledged_ping_sent_at == seconds(0)
     clock.advance(seconds(1))
     assert len(wire.sent) == 3
     # The second ping's answer is read 20 s late, before any timer.
     clock._now += seconds(20)
-    link._received(wire, ping)
-    assert link.heard == clock.now() and link.shown == seconds(0.5)
+    link._on_message(wire, ping)
+    assert link.last_message_at == clock.now() and link.acknowledged_ping_sent_at == seconds(0.5)
     # Each answer belongs to one question, in their order; one more than was asked shows nothing.
-    link._received(wire, ping)
-    link._received(wire, ping)
-    assert link.shown == seconds(1)
+    link._on_message(wire, ping)
+    link._on_message(wire, ping)
+    assert link.acknowledged_ping_sent_at == seconds(1)
     # What a connection before this one still brings answers nothing that was asked here.
     clock.advance(seconds(0.5))
-    link._received(Wire(), ping)
-    assert link.shown == seconds(1)
+    link._on_message(Wire(), ping)
+    assert link.acknowledged_ping_sent_at == seconds(1)
 
 
 def silent_link(clock, connected):
     """A link whose every connection is made, of which `connected` is told; nothing is ever answered."""
-    link = Link(None, clock, Sibling("other", "a", "10.0.0.1:1"), seconds(0.5), lambda turn: "ping")
+    link = PeerConnection(
+        None, clock, Peer("other", "a", "10.0.0.1:1"), seconds(0.5), lambda revision: "ping"
+    )
 
     async def connect(host, port):
         link._connection = Wire()
@@ -340,21 +342,23 @@
     clock, wires = ManualClock(), []
     link = silent_link(clock, lambda link: wires.append(link._connection))
     link.start()
-    link._received(link._connection, Ping("other", 1, True, 0))
-    assert link.up
+    link._on_message(link._connection, PeerHeartbeat("other", 1, True, 0))
+    assert link.is_up
     clock.advance(seconds(2.5))
     for _ in range(70):
         clock.advance(seconds(1))
-        assert not link.up
+        assert not link.is_up
     refused = []
-    asked = ensureDeferred(link.ask(lambda number: Forward(number, "GET", "/ready", b""), seconds(1)))
+    asked = ensureDeferred(
+        link.request(lambda number: UserRequestForward(number, "GET", "/ready", b""), seconds(1))
+    )
     asked.addErrback(lambda failure: refused.append(failure.type))
-    assert refused == [LinkDown]
+    assert refused == [PeerUnreachableError]
     # One connection at a time, given up after four pings.
     assert 30 <= len(wires) <= 37
     # It goes on: its first word makes the link.
-    link._received(link._connection, Ping("other", 1, False, 0))
-    assert link.up and not link.state.leads
+    link._on_message(link._connection, PeerHeartbeat("other", 1, False, 0))
+    assert link.is_up and not link.last_heartbeat.leads
 
 
 def test_a_sibling_that_closes_each_connection_at_once_is_dialled_once_a_ping():
@@ -362,7 +366,7 @@
 
     def close(link):
         dials.append(clock.now())
-        clock.later(seconds(0.001), link._down)
+        clock.later(seconds(0.001), link._on_connection_lost)
 
     silent_link(clock, close).start()
     clock.advance(seconds(10.1))
--- a/spindleglade/leadership/test_statements.py
+++ b/spindleglade/leadership/test_statements.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from spindleglade.clock import ManualClock, seconds
-from spindleglade.leadership.statements import Statements
+from spindleglade.leadership.statements import PeerCancellationLog
 
 NODES = ("a", "b")
 
@@ -21,8 +21,8 @@
         self.clock = ManualClock()
         self.confirmed = None
         self.known = set()
-        self.statements = Statements(
-            self.clock, NODES, lambda: self.confirmed, lambda job, mark: self.known.add(job)
+        self.statements = PeerCancellationLog(
+            self.clock, NODES, lambda: self.confirmed, lambda job, mod_revision: self.known.add(job)
         )
         # All that is in the store, and what each process knows.
         self.told = {}
@@ -57,11 +57,11 @@
     @rule(which=st.integers(0, 9))
     def an_answer_comes(self, which):
         if self.answers:
-            self.statements.heard(*self.answers.pop(which % len(self.answers)))
+            self.statements.on_heartbeat(*self.answers.pop(which % len(self.answers)))
 
     @rule(node=st.sampled_from(NODES))
     def it_asks_us(self, node):
-        self.statements.heard(node, f"{node}{self.process[node]}", None, None)
+        self.statements.on_heartbeat(node, f"{node}{self.process[node]}", None, None)
 
     @rule()
     def the_store_answers(self):
@@ -72,7 +72,7 @@
     def what_is_not_known_was_told_after_the_proof(self):
         if not hasattr(self, "told"):
             return
-        proven = self.statements.proven
+        proven = self.statements.complete_as_of
         assert proven is None or proven >= (self.confirmed or timedelta(0))
         for job, at in self.told.items():
             assert job in self.known or proven is None or proven <= at
@@ -84,16 +84,18 @@
 
 def test_all_siblings_words_extend_the_proof_until_one_of_them_ends():
     clock = ManualClock()
-    statements = Statements(clock, NODES, lambda: seconds(1), lambda job, mark: None)
-    assert Statements(clock, (), lambda: seconds(1), lambda job, mark: None).proven == seconds(1)
+    statements = PeerCancellationLog(clock, NODES, lambda: seconds(1), lambda job, mod_revision: None)
+    assert PeerCancellationLog(
+        clock, (), lambda: seconds(1), lambda job, mod_revision: None
+    ).complete_as_of == seconds(1)
     for node in NODES:
-        statements.heard(node, "first", None, None)
+        statements.on_heartbeat(node, "first", None, None)
     clock.advance(seconds(9))
-    statements.heard("a", "first", [], seconds(8))
-    assert statements.proven == seconds(1)
-    statements.heard("b", "first", [], seconds(7))
-    statements.heard("x", "first", [], seconds(9))
-    assert statements.proven == seconds(7)
+    statements.on_heartbeat("a", "first", [], seconds(8))
+    assert statements.complete_as_of == seconds(1)
+    statements.on_heartbeat("b", "first", [], seconds(7))
+    statements.on_heartbeat("x", "first", [], seconds(9))
+    assert statements.complete_as_of == seconds(7)
     # What the process before this one had told its users by its end, nobody can say.
-    statements.heard("b", "second", [], seconds(9))
-    assert statements.proven == seconds(1)
+    statements.on_heartbeat("b", "second", [], seconds(9))
+    assert statements.complete_as_of == seconds(1)
--- a/spindleglade/loop.py
+++ b/spindleglade/loop.py
@@ -10,19 +10,19 @@
 from datetime import timedelta
 
 from spindleglade.clock import Clock, seconds, sleep
-from spindleglade.tasks import spawn
+from spindleglade.tasks import run_in_background
 
 log = logging.getLogger("spindleglade")
 
 # The pause after a pass that broke, for each that broke in a row, and the longest.
-PAUSE = seconds(0.5)
-LONGEST_PAUSE = seconds(5)
+FAILURE_PAUSE = seconds(0.5)
+MAX_FAILURE_PAUSE = seconds(5)
 # A loop has stalled if so many of its passes broke in a row, or one has been under way for so long.
-FAILURES_TO_STALL = 6
-LONGEST_PASS = seconds(30)
+STALLED_AFTER_FAILURES = 6
+MAX_PASS_DURATION = seconds(30)
 
 
-class Loop:
+class PeriodicTask:
     """Calls `one_pass` again and again; between two passes, and with `waits_first` before the first one, it
     waits for `until_next`."""
 
@@ -36,52 +36,55 @@
     ) -> None:
         self._clock = clock
         self._name = name
-        self._one_pass = one_pass
-        self._until_next = until_next
+        self._run_pass = one_pass
+        self._wait_for_next = until_next
         self._waits_first = waits_first
         self._stopped = False
         # When the pass under way began.
-        self._pass_began: timedelta | None = None
+        self._pass_started_at: timedelta | None = None
         # Passes that broke since one did not, and the latest error.
         self._failures = 0
         self._error: str | None = None
 
     def start(self) -> None:
         """Begins the first pass."""
-        spawn(self._run(), self._name)
+        run_in_background(self._run(), self._name)
 
     def stop(self) -> None:
         """No further pass begins."""
         self._stopped = True
 
     @property
-    def stalled(self) -> str | None:
+    def stall_reason(self) -> str | None:
         """Why the loop gets nothing done, if so."""
-        if self._failures >= FAILURES_TO_STALL:
+        if self._failures >= STALLED_AFTER_FAILURES:
             return f"{self._name} broke {self._failures} times in a row: {self._error}"
-        if self._pass_began is not None and self._clock.now() - self._pass_began > LONGEST_PASS:
-            return f"{self._name} has not come back since {self._clock.now() - self._pass_began}"
+        if (
+            self._pass_started_at is not None
+            and self._clock.now() - self._pass_started_at > MAX_PASS_DURATION
+        ):
+            return f"{self._name} has not come back since {self._clock.now() - self._pass_started_at}"
         return None
 
     async def _run(self) -> None:
         if self._waits_first:
-            await self._until_next()
+            await self._wait_for_next()
         while not self._stopped:
-            self._pass_began = self._clock.now()
+            self._pass_started_at = self._clock.now()
             try:
-                await self._one_pass()
+                await self._run_pass()
                 self._failures = 0
             except Exception as error:
-                self._broke(error)
-            self._pass_began = None
+                self._on_pass_failed(error)
+            self._pass_started_at = None
             if self._stopped:
                 return
             if self._failures:
-                await sleep(self._clock, min(PAUSE * self._failures, LONGEST_PAUSE))
+                await sleep(self._clock, min(FAILURE_PAUSE * self._failures, MAX_FAILURE_PAUSE))
             else:
-                await self._until_next()
+                await self._wait_for_next()
 
-    def _broke(self, error: Exception) -> None:
+    def _on_pass_failed(self, error: Exception) -> None:
         self._failures += 1
         known, self._error = self._error, repr(error)
         if self._failures == 1 or known != self._error:
--- a/spindleglade/pipelines.py
+++ b/spindleglade/pipelines.py
@@ -10,7 +10,7 @@
 from spindleglade.clock import ZERO, Clock, seconds
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.attempts import ChainMember
-from spindleglade.workers.cluster import Cluster
+from spindleglade.workers.cluster import ClusterState
 
 # How long changes of pipelines are gathered before priorities and deadlines are passed on again.
 URGENCY_DELAY = seconds(0.2)
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        cluster: Cluster,
+        cluster: ClusterState,
         views: JobViews,
         predictor: Predictor,
         clock: Clock,
@@ -36,7 +36,7 @@
         self._views = views
         self._predictor = predictor
         self._clock = clock
-        self._changed = changed
+        self._on_changed = changed
         self._stopped = False
         self._timer: Any = None
         self._delay = URGENCY_DELAY
@@ -51,12 +51,12 @@
             self.update(job)
         self.update_urgency()
 
-    def job_changed(self, job: str) -> None:
+    def on_job_changed(self, job: str) -> None:
         """The job was released, cancelled through an ancestor, or is now awaited by others."""
         if self._stopped:
             return
         self.update(job)
-        self._changed()
+        self._on_changed()
         if self._timer is None:
             # Many jobs may change at once, and the pass looks at all that are unfinished.
             self._timer = self._clock.later(self._delay, self.update_urgency)
@@ -66,13 +66,13 @@
         graph = self._views.graph
         if job not in self._cluster.jobs:
             return
-        self._cluster.set_awaited(job, graph.is_awaited(job))
+        self._cluster.set_has_dependents(job, graph.has_dependents(job))
         if graph.is_cancelled(job):
-            self._cluster.cancel_dependent(job)
+            self._cluster.cancel_through_dependency(job)
         elif not self._cluster.jobs[job].released and job in self._views.jobs and graph.is_released(job):
             released = self._views.released_at(job)
             age = ZERO if released is None else max(ZERO, self._clock.utc() - released)
-            self._cluster.release(job, self._clock.now(), age)
+            self._cluster.release_job(job, self._clock.now(), age)
 
     def update_urgency(self) -> None:
         """Passes priorities and deadlines on from the ends of pipelines to their beginnings."""
--- a/spindleglade/settings/platform.py
+++ b/spindleglade/settings/platform.py
@@ -16,7 +16,7 @@
 Address = Annotated[str, msgspec.Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 
 
-class Sibling(msgspec.Struct, frozen=True):
+class Peer(msgspec.Struct, frozen=True):
     name: Name = msgspec.field(name="node")
     zone: str
     address: Address = msgspec.field(name="endpoint")
@@ -55,7 +55,7 @@
     cancel_s: Positive
 
     @property
-    def report(self) -> timedelta:
+    def heartbeat_interval(self) -> timedelta:
         return timedelta(seconds=self.report_s)
 
     @property
@@ -154,13 +154,13 @@
     zone: str
     client_listen: Address
     peer_listen: Address = msgspec.field(name="peer_bind")
-    siblings: list[Sibling]
+    peers: list[Peer] = msgspec.field(name="siblings")
     external: External
     params: Params
 
     @property
-    def nodes(self) -> int:
-        return len(self.siblings) + 1
+    def controller_count(self) -> int:
+        return len(self.peers) + 1
 
     @property
     def teams(self) -> dict[str, Team]:
@@ -190,7 +190,7 @@
 
 
 def check_platform(file: str, settings: Platform) -> None:
-    names = [settings.name] + [sibling.name for sibling in settings.siblings]
+    names = [settings.name] + [sibling.name for sibling in settings.peers]
     if len(set(names)) != len(names):
         raise SettingsError(file, "siblings", "two nodes have the same name")
     teams = [team.name for team in settings.params.teams]
--- a/spindleglade/settings/test_settings.py
+++ b/spindleglade/settings/test_settings.py
@@ -62,7 +62,7 @@
 
 def test_fields_we_do_not_know_are_ignored(tmp_path):
     loaded = load_platform(write(tmp_path, GOOD | {"later": [1, {"x": None}]}))
-    assert loaded.nodes == 2 and loaded.teams["t"].cpus_max == 8.0 and loaded.soonest_start is None
+    assert loaded.controller_count == 2 and loaded.teams["t"].cpus_max == 8.0 and loaded.soonest_start is None
 
 
 @pytest.mark.parametrize("limits", [{}, {"cpus_max": 0.0, "gpus_max": 0}, {"cpus_max": 0, "gpus_max": 2.0}])
--- a/spindleglade/sockets.py
+++ b/spindleglade/sockets.py
@@ -7,30 +7,30 @@
 """
 
 
-class Sockets:
+class ConnectionBudget:
     def __init__(self, limit: int) -> None:
         self.limit = limit
         # Connections of users and workers, and those to machines. The few to store, cloud and siblings are in
         # the reserve.
         self.open = 0
 
-    def opened(self) -> None:
+    def on_opened(self) -> None:
         self.open += 1
 
-    def closed(self) -> None:
+    def on_closed(self) -> None:
         self.open -= 1
 
     @property
-    def crowded(self) -> bool:
+    def nearly_exhausted(self) -> bool:
         """Nothing idle should be kept."""
         return self.open >= self.limit * 3 // 4
 
     @property
-    def full(self) -> bool:
+    def exhausted(self) -> bool:
         """The rest is the reserve: for store, cloud, siblings, and health checks."""
         return self.open >= self.limit * 7 // 8
 
     @property
-    def orders_at_once(self) -> int:
+    def max_concurrent_commands(self) -> int:
         """Messages straight to machines that may be under way at a time."""
         return max(8, self.limit // 16)
--- a/spindleglade/store/test_client.py
+++ b/spindleglade/store/test_client.py
@@ -7,20 +7,20 @@
 from spindleglade.clock import ManualClock, seconds
 from spindleglade.settings.platform import NextStateLimits, StateLimits
 from spindleglade.store.client import (
-    LOWER_RATES_FOR,
+    LOWER_RATES_DURATION,
     Condition,
-    LeaseGone,
+    LeaseExpiredError,
+    NotAppliedError,
     Put,
-    ServiceUnavailable,
+    RateLimitedError,
+    ServiceUnavailableError,
     StateClient,
-    TooLarge,
-    TooManyRequests,
-    Unavailable,
-    raw,
+    ValueTooLargeError,
+    encode_value,
 )
 from spindleglade.store.replica import Replica
-from spindleglade.tasks import spawn
-from spindleglade.web import Response
+from spindleglade.tasks import run_in_background
+from spindleglade.web import ClientResponse
 from tests.standins import StateService
 
 LIMITS = StateLimits(100.0, 40.0, 16.0, 12, NextStateLimits(50.0, 10.0, 2.0, 4))
@@ -35,9 +35,9 @@
     async def request(self, method, address, path, body=None, timeout=None):
         self.sent.append(path)
         if self.answers:
-            return Response(self.answers.pop(0), b"{}")
+            return ClientResponse(self.answers.pop(0), b"{}")
         answer = self.service.handle(method, path, body or b"")
-        return Response(*(await answer if isinstance(answer, Deferred) else answer))
+        return ClientResponse(*(await answer if isinstance(answer, Deferred) else answer))
 
 
 def make(limits=LIMITS, **given):
@@ -53,32 +53,32 @@
     async def asked():
         try:
             return await work
-        except (Unavailable, LeaseGone) as error:
+        except (NotAppliedError, LeaseExpiredError) as error:
             return error
 
-    spawn(asked(), "call").addCallback(ended.append)
+    run_in_background(asked(), "call").addCallback(ended.append)
     return ended
 
 
-@pytest.mark.parametrize(("status", "kind"), [(429, TooManyRequests), (503, ServiceUnavailable)])
+@pytest.mark.parametrize(("status", "kind"), [(429, RateLimitedError), (503, ServiceUnavailableError)])
 def test_refusals_are_told_apart(status, kind):
     _, line, client = make()
     line.answers = [status]
     (error,) = call(client.get("a"))
-    assert type(error) is kind and isinstance(error, Unavailable)
+    assert type(error) is kind and isinstance(error, NotAppliedError)
 
 
 def test_the_first_400_for_size_makes_values_smaller():
     _, line, client = make()
     line.service.lower_limits(2.0, 4)
-    large = [Put("sg/a", raw("x" * 3000))]
+    large = [Put("sg/a", encode_value("x" * 3000))]
     assert client.value_bytes == 16 * 1024
-    (error,) = call(client.txn([Condition("sg/a", 0)], large))
-    assert type(error) is TooLarge and client.value_bytes == LIMITS.value_bytes < 2048
+    (error,) = call(client.compare_and_swap([Condition("sg/a", 0)], large))
+    assert type(error) is ValueTooLargeError and client.value_bytes == LIMITS.value_bytes < 2048
     # A lease that has ended is no matter of size.
     _, line, client = make()
-    (error,) = call(client.txn([], [Put("sg/a", raw(1), lease=9)]))
-    assert type(error) is LeaseGone and client.value_bytes == 16 * 1024
+    (error,) = call(client.compare_and_swap([], [Put("sg/a", encode_value(1), lease=9)]))
+    assert type(error) is LeaseExpiredError and client.value_bytes == 16 * 1024
 
 
 def changes_in(clock, client, length):
@@ -88,12 +88,12 @@
     async def write():
         while True:
             try:
-                await client.txn([], [Put("sg/a", raw(len(made)))])
+                await client.compare_and_swap([], [Put("sg/a", encode_value(len(made)))])
                 made.append(clock.now())
-            except Unavailable:
+            except NotAppliedError:
                 pass
 
-    spawn(write(), "writing")
+    run_in_background(write(), "writing")
     before = len(made)
     clock.advance(length)
     return len(made) - before
@@ -105,27 +105,30 @@
     line.answers = [429]
     clock.advance(seconds(1))
     asked = len(line.sent)
-    clock.advance(LOWER_RATES_FOR - seconds(2))
-    lower = (len(line.sent) - asked) / (LOWER_RATES_FOR - seconds(2)).total_seconds()
-    assert 5 < lower <= LIMITS.lowest.write_rps and client.pace == seconds(3 / 50)
+    clock.advance(LOWER_RATES_DURATION - seconds(2))
+    lower = (len(line.sent) - asked) / (LOWER_RATES_DURATION - seconds(2)).total_seconds()
+    assert 5 < lower <= LIMITS.lowest.write_rps and client.request_interval == seconds(3 / 50)
     clock.advance(seconds(3))
     asked = len(line.sent)
     clock.advance(seconds(10))
-    assert len(line.sent) - asked > 200 and client.pace == seconds(3 / 100)
+    assert len(line.sent) - asked > 200 and client.request_interval == seconds(3 / 100)
 
 
 def test_without_limits_to_come_a_429_changes_no_rate():
     clock, line, client = make(StateLimits(100.0, 40.0, 16.0, 12))
     line.answers = [429]
-    assert type(call(client.get("a"))[0]) is TooManyRequests
-    assert client.pace == seconds(3 / 100) and changes_in(clock, client, seconds(10)) > 200
+    assert type(call(client.get("a"))[0]) is RateLimitedError
+    assert client.request_interval == seconds(3 / 100) and changes_in(clock, client, seconds(10)) > 200
 
 
 def test_ordinary_requests_yield_while_they_are_held_back():
     clock, line, client = make()
-    client.hold_back(seconds(2))
-    ordinary, listing = call(client.txn([], [Put("sg/a", raw(1))])), call(client.read_all("sg/"))
-    urgent = call(client.txn([], [Put("sg/b", raw(1))], urgent=True))
+    client.pause_ordinary_requests(seconds(2))
+    ordinary, listing = (
+        call(client.compare_and_swap([], [Put("sg/a", encode_value(1))])),
+        call(client.read_all("sg/")),
+    )
+    urgent = call(client.compare_and_swap([], [Put("sg/b", encode_value(1))], urgent=True))
     assert urgent and not ordinary and not listing and len(line.sent) == 1
     clock.advance(seconds(2))
     assert ordinary and listing
@@ -148,8 +151,8 @@
     service.handle = move
     held, seen = {}, []
     replica = Replica(client, clock, "sg/", seconds(10), seconds(1))
-    replica.listen(lambda key, value, mark: held.__setitem__(key, msgspec.json.decode(value)))
-    proven = replica._proven
-    replica._proven = lambda asked: (seen.append(dict(held)), proven(asked))
+    replica.subscribe(lambda key, value, mod_revision: held.__setitem__(key, msgspec.json.decode(value)))
+    proven = replica._record_catch_up
+    replica._record_catch_up = lambda asked: (seen.append(dict(held)), proven(asked))
     replica.start()
     assert seen and seen[0]["sg/z"] == "left" and seen[0]["sg/a"] == "right"
--- a/spindleglade/store/test_store.py
+++ b/spindleglade/store/test_store.py
@@ -8,10 +8,10 @@
 from twisted.internet.defer import Deferred
 
 from spindleglade.clock import ManualClock, seconds
-from spindleglade.store.budget import Budget
-from spindleglade.store.client import Change, Entry, Listing, TooOld, Unavailable
-from spindleglade.store.replica import Replica, Unconfirmed
-from spindleglade.tasks import spawn
+from spindleglade.store.budget import TokenBucket
+from spindleglade.store.client import Change, Entry, Listing, NotAppliedError, RevisionCompactedError
+from spindleglade.store.replica import Replica, StaleReplicaError
+from spindleglade.tasks import run_in_background
 
 OPS = st.lists(
     st.tuples(st.sampled_from(["put", "remove"]), st.sampled_from("abc"), st.integers(0, 9)), max_size=30
@@ -24,17 +24,17 @@
     def __init__(self, ops):
         self.log, self.at = [], []
         keys: dict[str, tuple[int, int]] = {}
-        for mark, (op, key, value) in enumerate(ops, 1):
+        for mod_revision, (op, key, value) in enumerate(ops, 1):
             if op == "put":
-                keys[key] = (value, mark)
-                self.log.append(Change(mark, put=key, value=msgspec.Raw(b"%d" % value)))
+                keys[key] = (value, mod_revision)
+                self.log.append(Change(mod_revision, put=key, value=msgspec.Raw(b"%d" % value)))
             else:
                 keys.pop(key, None)
-                self.log.append(Change(mark, removed=key))
+                self.log.append(Change(mod_revision, removed=key))
             self.at.append(dict(keys))
 
-    def changes(self, since, turn):
-        return turn, [change for change in self.log if since < change.mark <= turn]
+    def changes(self, since, revision):
+        return revision, [change for change in self.log if since < change.mod_revision <= revision]
 
 
 class Idle:
@@ -46,13 +46,13 @@
     replica = Replica(client or Idle(), clock, "", seconds(10), seconds(1))
     held: dict[str, int] = {}
 
-    def listen(key, value, mark):
+    def subscribe(key, value, mod_revision):
         if value is None:
             held.pop(key, None)
         else:
             held[key] = int(value)
 
-    replica.listen(listen)
+    replica.subscribe(subscribe)
     return clock, replica, held
 
 
@@ -63,12 +63,12 @@
     store = Store(ops)
     _, replica, held = make()
     for back, ahead in answers:
-        since = max(0, replica.turn - back)
-        turn = min(len(store.log), since + ahead)
-        replica.apply(*store.changes(since, turn))
-        expected = store.at[replica.turn - 1] if replica.turn else {}
+        since = max(0, replica.revision - back)
+        revision = min(len(store.log), since + ahead)
+        replica.apply(*store.changes(since, revision))
+        expected = store.at[replica.revision - 1] if replica.revision else {}
         assert held == {key: value for key, (value, _) in expected.items()}
-        assert replica.marks == {key: mark for key, (_, mark) in expected.items()}
+        assert replica.mod_revisions == {key: mod_revision for key, (_, mod_revision) in expected.items()}
 
 
 @given(
@@ -87,28 +87,28 @@
     _, replica, held = make(client)
     for listing, back, ahead, step in steps:
         if not listing:
-            since = max(0, replica.turn - back)
+            since = max(0, replica.revision - back)
             replica.apply(*store.changes(since, min(newest, since + ahead)))
         else:
             # What the replica had when it asked may be older than what it has when the answer comes.
-            turn = at = max(0, replica.turn - back)
+            revision = at = max(0, replica.revision - back)
             entries = []
             for key in "abc":
                 if at and key in store.at[at - 1]:
-                    value, mark = store.at[at - 1][key]
-                    entries.append(Entry(key, msgspec.Raw(b"%d" % value), mark))
+                    value, mod_revision = store.at[at - 1][key]
+                    entries.append(Entry(key, msgspec.Raw(b"%d" % value), mod_revision))
                 at = min(newest, at + step)
-            before = replica.turn
-            spawn(replica._load(), "load")
-            client.asked.pop().callback(Listing(entries, turn))
-            assert replica.turn == max(before, turn)
+            before = replica.revision
+            run_in_background(replica._load(), "load")
+            client.asked.pop().callback(Listing(entries, revision))
+            assert replica.revision == max(before, revision)
             # Later pages may be ahead of the turn; what follows from there makes up for it.
-            replica.apply(*store.changes(replica.turn, min(newest, max(replica.turn, at) + ahead)))
-            if replica.turn < at:
+            replica.apply(*store.changes(replica.revision, min(newest, max(replica.revision, at) + ahead)))
+            if replica.revision < at:
                 continue
-        expected = store.at[replica.turn - 1] if replica.turn else {}
+        expected = store.at[replica.revision - 1] if replica.revision else {}
         assert held == {key: value for key, (value, _) in expected.items()}
-        assert replica.marks == {key: mark for key, (_, mark) in expected.items()}
+        assert replica.mod_revisions == {key: mod_revision for key, (_, mod_revision) in expected.items()}
 
 
 class Scripted:
@@ -142,10 +142,10 @@
 def test_a_proof_is_begun_after_the_question_and_shared():
     client, _, replica, _ = loaded()
     fired = []
-    replica.confirm().addCallback(lambda _: fired.append("first"))
+    replica.catch_up().addCallback(lambda _: fired.append("first"))
     # These came while a catch-up was under way, which may be older than they are.
-    replica.confirm().addCallback(lambda _: fired.append("second"))
-    replica.confirm().addCallback(lambda _: fired.append("third"))
+    replica.catch_up().addCallback(lambda _: fired.append("second"))
+    replica.catch_up().addCallback(lambda _: fired.append("third"))
     assert len(client.asked) == 1
     client.asked.pop(0).callback((6, []))
     assert fired == ["first"]
@@ -157,10 +157,10 @@
 def test_without_the_store_nothing_is_confirmed():
     client, _, replica, _ = loaded()
     failed = []
-    before = replica.confirmed
-    replica.confirm().addErrback(lambda failure: failed.append(failure.check(Unconfirmed)))
-    client.asked.pop(0).errback(Unavailable("503"))
-    assert failed == [Unconfirmed] and replica.confirmed == before
+    before = replica.current_as_of
+    replica.catch_up().addErrback(lambda failure: failed.append(failure.check(StaleReplicaError)))
+    client.asked.pop(0).errback(NotAppliedError("503"))
+    assert failed == [StaleReplicaError] and replica.current_as_of == before
 
 
 def test_a_replica_that_is_too_old_reads_all_again():
@@ -170,22 +170,22 @@
     client.asked.pop(0).callback(
         Listing([Entry("a", msgspec.Raw(b"1"), 3), Entry("b", msgspec.Raw(b"2"), 4)], 5)
     )
-    client.asked.pop(0).errback(TooOld())
+    client.asked.pop(0).errback(RevisionCompactedError())
     client.asked.pop(0).callback(Listing([Entry("b", msgspec.Raw(b"7"), 20_000)], 20_000))
-    assert held == {"b": 7} and replica.turn == 20_000
+    assert held == {"b": 7} and replica.revision == 20_000
 
 
 def test_one_listeners_trouble_does_not_end_the_watch():
     client, _, replica, held = loaded()
-    replica.listen(lambda key, value, mark: 1 / 0)
+    replica.subscribe(lambda key, value, mod_revision: 1 / 0)
     replica.apply(9, [Change(9, put="c", value=msgspec.Raw(b"4"))])
-    assert held["c"] == 4 and replica.turn == 9
+    assert held["c"] == 4 and replica.revision == 9
 
 
 @given(st.lists(st.tuples(st.floats(0, 2), st.integers(1, 5), st.booleans()), max_size=40))
 def test_no_more_than_the_share_is_used_over_time(spends):
     clock = ManualClock()
-    budget = Budget(clock, 10.0, 10.0)
+    budget = TokenBucket(clock, 10.0, 10.0)
     used, latest = 0.0, timedelta(0)
     for pause, amount, urgent in spends:
         clock.advance(seconds(pause))
@@ -211,16 +211,16 @@
         raise ValueError
 
     monkeypatch.setattr(replica, "_log_catch_up", breaks)
-    replica.confirm()
+    replica.catch_up()
     monkeypatch.setattr(replica, "_log_catch_up", log_catch_up)
-    confirmed = []
-    replica.confirm().addCallback(confirmed.append)
-    assert confirmed == [None]
+    current_as_of = []
+    replica.catch_up().addCallback(current_as_of.append)
+    assert current_as_of == [None]
 
 
 def test_failing_catch_ups_are_logged_once_and_their_end_as_well(caplog):
     caplog.set_level("INFO")
-    fails = [Unavailable("no"), Unavailable("no"), None, None]
+    fails = [NotAppliedError("no"), NotAppliedError("no"), None, None]
 
     class Answers:
         async def watch(self, prefix, since, wait):
@@ -232,7 +232,7 @@
     clock, replica, _ = make(Answers())
     replica.loaded = True
     while fails:
-        replica.confirm().addErrback(lambda failure: failure.trap(Unconfirmed))
+        replica.catch_up().addErrback(lambda failure: failure.trap(StaleReplicaError))
     assert [record.getMessage() for record in caplog.records] == [
         "catch-up failed turn=0 loaded=True reason=no",
         "catch-ups succeed again turn=7 failed=2",
--- a/spindleglade/submissions/acceptance.py
+++ b/spindleglade/submissions/acceptance.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.client import Put, raw
+from spindleglade.store.client import Put, encode_value
 from spindleglade.submissions.records import JobRecord, dependency_key, job_key
 
 # Of the 64 KiB that a transaction may have, what its values may take; the rest is for keys and conditions.
@@ -21,14 +21,14 @@
     """The changes that accept a job, all for one transaction: a job is never seen without its dependencies.
     Those that do not fit the record go into keys of their own. Raises TooManyDependencies."""
     key = job_key(record.spec.id)
-    value = raw(record)
+    value = encode_value(record)
     if not record.dependencies or len(value) <= limits.value_bytes:
         return [Put(key, value)]
     lists = split_list(record.dependencies, limits.value_bytes)
     moved = msgspec.structs.replace(record, dependencies=[], dependency_keys=len(lists))
-    writes = [Put(key, raw(moved))]
+    writes = [Put(key, encode_value(moved))]
     for number, names in enumerate(lists):
-        writes.append(Put(dependency_key(record.spec.id, number), raw(names)))
+        writes.append(Put(dependency_key(record.spec.id, number), encode_value(names)))
     size = sum(len(write.value) for write in writes)
     if len(writes) > limits.operations or size > TRANSACTION_BYTES:
         raise TooManyDependencies(len(record.dependencies))
--- a/spindleglade/submissions/dependencies.py
+++ b/spindleglade/submissions/dependencies.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 
-class Outcome(Enum):
+class DependencyOutcome(Enum):
     """What a job's own record says of it."""
 
     OPEN = "open"
@@ -26,7 +26,7 @@
     """Fed with the outcome of every job record and the dependencies of every open one."""
 
     def __init__(self) -> None:
-        self._outcomes: dict[str, Outcome] = {}
+        self._outcomes: dict[str, DependencyOutcome] = {}
         # Jobs that are not released: the dependencies that are not known to be done. The set is empty for a
         # job whose list of dependencies has not been read completely.
         self._missing: dict[str, set[str]] = {}
@@ -42,7 +42,7 @@
         """Whether an ancestor of the job is aborted."""
         return job in self._cancelled
 
-    def is_awaited(self, job: str) -> bool:
+    def has_dependents(self, job: str) -> bool:
         """Whether jobs wait for the end of this one."""
         return job in self._dependents
 
@@ -61,7 +61,7 @@
     def add(self, job: str, dependencies: Iterable[str]) -> set[str]:
         """Takes in the dependencies of an open job, once. Returns the jobs whose state this changes: those
         that are awaited now, and the job itself if it is cancelled already."""
-        missing = {name for name in dependencies if self._outcomes.get(name) is not Outcome.DONE}
+        missing = {name for name in dependencies if self._outcomes.get(name) is not DependencyOutcome.DONE}
         if not missing:
             self._missing.pop(job, None)
             return {job}
@@ -72,20 +72,20 @@
             self._dependents.setdefault(name, []).append(job)
         return missing
 
-    def observe(self, job: str, outcome: Outcome) -> set[str]:
+    def observe(self, job: str, outcome: DependencyOutcome) -> set[str]:
         """Takes in what a job's record says. Returns the dependents that are released or cancelled by it."""
         if self._outcomes.get(job) is outcome:
             return set()
         self._outcomes[job] = outcome
-        if outcome is Outcome.DONE:
+        if outcome is DependencyOutcome.DONE:
             return self._release(self._dependents.pop(job, []), job)
-        if outcome is Outcome.ABORTED:
+        if outcome is DependencyOutcome.ABORTED:
             self._missing.pop(job, None)
             return self._cancel(self._dependents.pop(job, []))
         return set()
 
     def _is_aborted(self, job: str) -> bool:
-        return job in self._cancelled or self._outcomes.get(job) is Outcome.ABORTED
+        return job in self._cancelled or self._outcomes.get(job) is DependencyOutcome.ABORTED
 
     def _release(self, dependents: list[str], done: str) -> set[str]:
         released = set()
@@ -102,7 +102,7 @@
     def _cancel(self, jobs: Iterable[str]) -> set[str]:
         """Marks these jobs and all their descendants, and forgets what they waited for."""
         cancelled: set[str] = set()
-        pending = [job for job in jobs if self._outcomes.get(job) is not Outcome.ABORTED]
+        pending = [job for job in jobs if self._outcomes.get(job) is not DependencyOutcome.ABORTED]
         while pending:
             job = pending.pop()
             if job in self._cancelled:
--- a/spindleglade/submissions/messages.py
+++ b/spindleglade/submissions/messages.py
@@ -14,7 +14,7 @@
 
 Priority = Literal["critical", "high", "normal", "best_effort"]
 RANK: dict[str, int] = {"critical": 3, "high": 2, "normal": 1, "best_effort": 0}
-MOST_TASKS = 100_000
+MAX_TASKS = 100_000
 
 
 class Submission(msgspec.Struct, frozen=True):
@@ -24,7 +24,7 @@
     # `array` tasks run each for itself; a `group` runs all at once; `standing` ones run until aborted.
     kind: Literal["array", "group", "standing"] = msgspec.field(name="weave")
     priority: Priority = msgspec.field(name="urgency")
-    tasks: Annotated[int, msgspec.Meta(ge=1, le=MOST_TASKS)] = msgspec.field(name="threads")
+    tasks: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS)] = msgspec.field(name="threads")
     cpus: Positive = msgspec.field(name="vcpus")
     gpus: Amount = msgspec.field(name="accelerators")
     memory_gb: Amount = msgspec.field(name="mem_gb")
@@ -48,7 +48,7 @@
             raise ValueError("Object missing required field `reckon_s`")
 
     @property
-    def whole(self) -> bool:
+    def is_gang(self) -> bool:
         """Whether all tasks must find room at once."""
         return self.kind != "array"
 
@@ -59,23 +59,23 @@
     dependencies: list[JobId] | None = msgspec.field(name="awaits", default=None)
 
 
-class _Named(msgspec.Struct):
+class _JobReference(msgspec.Struct):
     id: JobId = msgspec.field(name="ref")
 
 
 _submissions = msgspec.json.Decoder(Submission)
 _dependencies = msgspec.json.Decoder(_Dependencies)
-_names = msgspec.json.Decoder(_Named)
+_job_references = msgspec.json.Decoder(_JobReference)
 
 
-class JobAnswer(msgspec.Struct):
+class JobResponse(msgspec.Struct):
     id: str = msgspec.field(name="ref")
-    stage: str
+    state: str = msgspec.field(name="stage")
 
 
-class StateAnswer(msgspec.Struct):
+class JobStatusResponse(msgspec.Struct):
     id: str = msgspec.field(name="ref")
-    stage: str
+    state: str = msgspec.field(name="stage")
     done: int
     running: int
 
@@ -90,7 +90,7 @@
     zones: tuple[str, ...]
 
 
-class Impossible(Exception):
+class UnschedulableJobError(Exception):
     """The job can never run here."""
 
 
@@ -105,22 +105,22 @@
     return list(dict.fromkeys(decode(_dependencies.decode, body).dependencies or ()))
 
 
-def named_job(body: bytes) -> str | None:
+def decode_job_reference(body: bytes) -> str | None:
     """The job that a malformed submission is about, if it says so."""
     try:
-        return decode(_names.decode, body).id
+        return decode(_job_references.decode, body).id
     except (msgspec.DecodeError, UnicodeDecodeError):
         # What cannot be read at all is a repeat of nothing.
         return None
 
 
-def check_possible(job: Submission, teams: dict[str, Team], shapes: list[MachineShape]) -> None:
+def check_schedulable(job: Submission, teams: dict[str, Team], shapes: list[MachineShape]) -> None:
     team = teams.get(job.team)
     if team is None:
-        raise Impossible("unknown team")
-    at_once = job.tasks if job.whole else 1
+        raise UnschedulableJobError("unknown team")
+    at_once = job.tasks if job.is_gang else 1
     if job.cpus * at_once > team.cpus_max or job.gpus * at_once > team.gpus_max:
-        raise Impossible("more is needed at once than the team's limit")
+        raise UnschedulableJobError("more is needed at once than the team's limit")
     for shape in shapes:
         if (
             (job.types is None or shape.name in job.types)
@@ -130,4 +130,4 @@
             and job.memory_gb <= shape.memory_gb
         ):
             return
-    raise Impossible("a task fits no allowed machine type")
+    raise UnschedulableJobError("a task fits no allowed machine type")
--- a/spindleglade/submissions/pieces.py
+++ b/spindleglade/submissions/pieces.py
@@ -9,67 +9,67 @@
 from bisect import bisect_right, insort
 from collections.abc import Iterable
 
-from spindleglade.submissions.records import chunk_key, part_key
+from spindleglade.submissions.records import overflow_range_key, range_key
 
 
-class Pieces:
+class TaskRanges:
     """The boundaries of one job. A piece is named by its first task."""
 
-    __slots__ = ("_chunk", "_firsts", "_tasks")
+    __slots__ = ("_overflow_starts", "_range_size", "_tasks")
 
     def __init__(self, chunk: int, tasks: int, firsts: Iterable[int] = ()) -> None:
-        self._chunk = chunk
+        self._range_size = chunk
         self._tasks = tasks
         # First tasks of the parts, sorted.
-        self._firsts: list[int] = []
+        self._overflow_starts: list[int] = []
         for first in firsts:
             self.add(first)
 
     @property
-    def parts(self) -> list[int]:
+    def overflow_starts(self) -> list[int]:
         """The first tasks of all parts."""
-        return list(self._firsts)
+        return list(self._overflow_starts)
 
     @property
-    def chunks(self) -> range:
+    def range_starts(self) -> range:
         """The first tasks of all chunks."""
-        return range(0, self._tasks, self._chunk)
+        return range(0, self._tasks, self._range_size)
 
     def add(self, first: int) -> None:
         """A part begins there."""
-        if not 0 < first < self._tasks or first % self._chunk == 0:
+        if not 0 < first < self._tasks or first % self._range_size == 0:
             raise ValueError(f"no part can begin at task {first}")
-        if not self.is_part(first):
-            insort(self._firsts, first)
+        if not self.is_overflow(first):
+            insort(self._overflow_starts, first)
 
     def remove(self, first: int) -> None:
         """The part is no longer there."""
-        if self.is_part(first):
-            self._firsts.remove(first)
+        if self.is_overflow(first):
+            self._overflow_starts.remove(first)
 
-    def is_part(self, first: int) -> bool:
-        at = bisect_right(self._firsts, first)
-        return at > 0 and self._firsts[at - 1] == first
+    def is_overflow(self, first: int) -> bool:
+        at = bisect_right(self._overflow_starts, first)
+        return at > 0 and self._overflow_starts[at - 1] == first
 
     def start(self, index: int) -> int:
         """The first task of the piece that speaks for this task."""
-        start = index - index % self._chunk
-        if self._firsts:
-            at = bisect_right(self._firsts, index)
+        start = index - index % self._range_size
+        if self._overflow_starts:
+            at = bisect_right(self._overflow_starts, index)
             if at:
-                start = max(start, self._firsts[at - 1])
+                start = max(start, self._overflow_starts[at - 1])
         return start
 
     def end(self, start: int) -> int:
         """The first task that no longer belongs to the piece that begins there."""
-        end = min(start - start % self._chunk + self._chunk, self._tasks)
-        if self._firsts:
-            at = bisect_right(self._firsts, start)
-            if at < len(self._firsts):
-                end = min(end, self._firsts[at])
+        end = min(start - start % self._range_size + self._range_size, self._tasks)
+        if self._overflow_starts:
+            at = bisect_right(self._overflow_starts, start)
+            if at < len(self._overflow_starts):
+                end = min(end, self._overflow_starts[at])
         return end
 
-    def cuts(self, start: int, width: int) -> list[int]:
+    def split_points(self, start: int, width: int) -> list[int]:
         """Where to split a piece into pieces of that many tasks at most. One that is not wider is halved;
         a single task cannot be split."""
         end = self.end(start)
@@ -78,10 +78,14 @@
 
     def key(self, job: str, start: int) -> str:
         """The key of the value of a piece."""
-        return part_key(job, start) if self.is_part(start) else chunk_key(job, start // self._chunk)
+        return (
+            overflow_range_key(job, start)
+            if self.is_overflow(start)
+            else range_key(job, start // self._range_size)
+        )
 
     def keys(self, job: str) -> list[str]:
         """All keys of the job, in the order in which they may be removed once it is over: a part goes after
         all that lie to its left, whose stale entries would count again without it."""
-        chunks = [chunk_key(job, first // self._chunk) for first in self.chunks]
-        return chunks + [part_key(job, first) for first in self._firsts]
+        chunks = [range_key(job, first // self._range_size) for first in self.range_starts]
+        return chunks + [overflow_range_key(job, first) for first in self._overflow_starts]
--- a/spindleglade/submissions/test_dependencies.py
+++ b/spindleglade/submissions/test_dependencies.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.client import Put, raw
+from spindleglade.store.client import Put, encode_value
 from spindleglade.submissions.acceptance import TooManyDependencies, acceptance_writes, split_list
-from spindleglade.submissions.dependencies import DependencyGraph, Outcome
+from spindleglade.submissions.dependencies import DependencyGraph, DependencyOutcome
 from spindleglade.submissions.messages import decode_submission
 from spindleglade.submissions.records import JobRecord, dependency_key, job_key
 from spindleglade.submissions.test_submissions import Service, encode
@@ -55,7 +55,7 @@
         number = rng.randrange(SIZE)
         if number not in told:
             told.add(number)
-            graph.observe(name(number), Outcome(outcomes.get(number, "open")))
+            graph.observe(name(number), DependencyOutcome(outcomes.get(number, "open")))
             if number not in outcomes:
                 graph.add(name(number), [name(other) for other in plan[number]])
         elif number not in outcomes and (
@@ -63,7 +63,7 @@
         ):
             ready = all(outcomes.get(other) == "done" for other in plan[number])
             outcomes[number] = "done" if ready and rng.random() < 0.7 else "aborted"
-            graph.observe(name(number), Outcome(outcomes[number]))
+            graph.observe(name(number), DependencyOutcome(outcomes[number]))
         for other in told:
             if other in outcomes:
                 continue
@@ -96,12 +96,12 @@
     }[shape]
     began = time.process_time()
     for number in range(size):
-        graph.observe(name(number), Outcome.OPEN)
+        graph.observe(name(number), DependencyOutcome.OPEN)
         graph.add(name(number), [name(other) for other in needs(number)])
     assert not graph.is_released(name(size - 1))
     for number in range(size // 2):
-        graph.observe(name(number), Outcome.DONE)
-    changed = graph.observe(name(size // 2), Outcome.ABORTED)
+        graph.observe(name(number), DependencyOutcome.DONE)
+    changed = graph.observe(name(size // 2), DependencyOutcome.ABORTED)
     assert time.process_time() - began < 10
     if shape == "fan out":
         assert changed == set() and graph.is_released(name(size - 1))
@@ -110,14 +110,16 @@
     assert len(changed) == {"chain": size // 2 - 1, "fan out": 0, "fan in": 1, "layers": size // 2 - 1}[shape]
 
 
-def record(number, stage="open", dependencies=(), **fields):
+def record(number, state="open", dependencies=(), **fields):
     job = spec(name(number))
-    return Put(job_key(name(number)), raw(JobRecord(stage, job, 8, None, list(dependencies), **fields)))
+    return Put(
+        job_key(name(number)), encode_value(JobRecord(state, job, 8, None, list(dependencies), **fields))
+    )
 
 
 def tell(views, *writes):
-    for mark, write in enumerate(writes, 1):
-        views.listener(write.key, bytes(write.value), mark)
+    for mod_revision, write in enumerate(writes, 1):
+        views.on_change(write.key, bytes(write.value), mod_revision)
 
 
 def test_a_job_whose_list_is_not_read_yet_waits():
@@ -125,16 +127,16 @@
     views = JobViews()
     tell(views, record(1, "done"), record(2, dependency_keys=2))
     assert not views.graph.is_released("job-2")
-    tell(views, Put(dependency_key("job-2", 0), raw(["job-1"])))
+    tell(views, Put(dependency_key("job-2", 0), encode_value(["job-1"])))
     assert not views.graph.is_released("job-2")
-    tell(views, Put(dependency_key("job-2", 1), raw(["job-1"])))
+    tell(views, Put(dependency_key("job-2", 1), encode_value(["job-1"])))
     assert views.graph.is_released("job-2")
     # In a listing the lists come first.
     views = JobViews()
-    tell(views, Put(dependency_key("job-2", 0), raw(["job-1"])), record(2, dependency_keys=1))
-    assert not views.graph.is_released("job-2") and views.graph.is_awaited("job-1")
+    tell(views, Put(dependency_key("job-2", 0), encode_value(["job-1"])), record(2, dependency_keys=1))
+    assert not views.graph.is_released("job-2") and views.graph.has_dependents("job-1")
     tell(views, record(1, "aborted"))
-    assert views.jobs["job-2"].stage == "aborted" and views.jobs["job-2"].final
+    assert views.jobs["job-2"].state == "aborted" and views.jobs["job-2"].is_final
 
 
 @pytest.mark.parametrize("end", ["done", "aborted", "through another"])
@@ -142,7 +144,7 @@
 def test_the_lists_of_a_job_that_is_over_are_forgotten_and_its_id_is_not(end, told_again):
     """A list may name thousands of jobs. A listing tells of it again, since its keys stay in the store."""
     views = JobViews()
-    lists = Put(dependency_key("job-2", 0), raw(["job-1"]))
+    lists = Put(dependency_key("job-2", 0), encode_value(["job-1"]))
     if end == "done":
         tell(views, record(1, "done"), lists, record(2, dependency_keys=1), record(2, "done"))
     elif end == "aborted":
@@ -154,8 +156,8 @@
     if told_again:
         tell(views, lists, record(2, end, dependency_keys=0) if end in ("done", "aborted") else lists)
     assert not views.dependency_lists
-    assert views.jobs["job-2"].stage == ("done" if end == "done" else "aborted")
-    assert views.jobs["job-2"].final
+    assert views.jobs["job-2"].state == ("done" if end == "done" else "aborted")
+    assert views.jobs["job-2"].is_final
 
 
 def test_a_release_dates_from_the_end_of_the_last_dependency():
@@ -163,7 +165,7 @@
     views = JobViews()
     accepted = JobRecord("open", spec("job-3"), 8, at, ["job-1", "job-2"])
     tell(views, record(1, "done", finished=at + timedelta(seconds=9)), record(2, "done"))
-    tell(views, Put(job_key("job-3"), raw(accepted)))
+    tell(views, Put(job_key("job-3"), encode_value(accepted)))
     assert views.released_at("job-3") == at + timedelta(seconds=9)
 
 
@@ -172,11 +174,11 @@
     views.subscribe(told.append)
     tell(views, record(1), record(2, dependencies=["job-1"]), record(3, dependencies=["job-2"]))
     told.clear()
-    views.listener(job_key("job-1"), bytes(record(1, "done").value), 9)
+    views.on_change(job_key("job-1"), bytes(record(1, "done").value), 9)
     assert told == ["job-2"]
-    views.listener(job_key("job-2"), bytes(record(2, "aborted").value), 10)
+    views.on_change(job_key("job-2"), bytes(record(2, "aborted").value), 10)
     assert told == ["job-2", "job-3"]
-    views.listener(job_key("job-2"), bytes(record(2, "aborted").value), 11)
+    views.on_change(job_key("job-2"), bytes(record(2, "aborted").value), 11)
     assert told == ["job-2", "job-3"]
 
 
@@ -190,7 +192,7 @@
     return service.ask("POST", "/submissions", encode(**fields))[0]
 
 
-def stage(service, id):
+def state(service, id):
     answer = service.ask("GET", f"/submissions/{id}")[0]
     return json.loads(answer.body)["stage"] if answer.status == 200 else answer.status
 
@@ -214,7 +216,7 @@
 
 def test_a_record_without_dependencies_is_written_as_the_version_before_wrote_it():
     at = datetime(2026, 1, 1, tzinfo=UTC)
-    value = json.loads(bytes(raw(JobRecord("open", decode_submission(encode()), 8, at))))
+    value = json.loads(bytes(encode_value(JobRecord("open", decode_submission(encode()), 8, at))))
     assert list(value) == ["stage", "spec", "chunk", "accepted"]
     assert "awaits" not in value["spec"]
 
@@ -237,7 +239,7 @@
     service = Service()
     submit(service, "job-1")
     confirms = []
-    service.confirm = lambda: confirms.append(1)
+    service.catch_up = lambda: confirms.append(1)
     assert submit(service, "job-2", ["job-1"]).status == 201 and not confirms
 
 
@@ -246,18 +248,18 @@
     submit(service, "job-1")
     submit(service, "job-2", ["job-1"])
     submit(service, "job-3", ["job-2"])
-    assert stage(service, "job-3") == "pending"
-    writes = service.turn
+    assert state(service, "job-3") == "pending"
+    writes = service.revision
     assert service.status("POST", "/submissions/job-1/abort") == 200
-    assert (stage(service, "job-2"), stage(service, "job-3")) == ("aborted", "aborted")
+    assert (state(service, "job-2"), state(service, "job-3")) == ("aborted", "aborted")
     # One that names it later is accepted all the same.
     late = submit(service, "job-4", ["job-3"])
     assert late.status == 201 and b"aborted" in late.body
     # Neither that nor cancelling one of them owes a write, and final answers need no store.
     service.reachable = False
     assert b"aborted" in service.ask("POST", "/submissions/job-3/abort")[0].body
-    assert stage(service, "job-4") == "aborted"
-    assert service.turn == writes + 2
+    assert state(service, "job-4") == "aborted"
+    assert service.revision == writes + 2
 
 
 def test_a_cancellation_that_comes_too_late_leaves_the_dependents_going_on():
@@ -266,7 +268,7 @@
     submit(service, "job-2", ["job-1"])
     service.write([record(1, "done")])
     assert b"done" in service.ask("POST", "/submissions/job-1/abort")[0].body
-    assert stage(service, "job-2") == "pending" and service.views.graph.is_released("job-2")
+    assert state(service, "job-2") == "pending" and service.views.graph.is_released("job-2")
 
 
 @pytest.mark.parametrize(
@@ -285,7 +287,7 @@
     for number, dependency in enumerate(names):
         assert not views.graph.is_released("job-999999")
         done = JobRecord("done", spec(dependency), 8)
-        views.listener(job_key(dependency), raw(done), 100 + number)
+        views.on_change(job_key(dependency), encode_value(done), 100 + number)
     assert views.graph.is_released("job-999999")
 
 
@@ -296,7 +298,7 @@
     with pytest.raises(TooManyDependencies):
         acceptance_writes(JobRecord("open", spec("job-999999"), 8, None, names), service.limits)
     for dependency in names:
-        service.marks[job_key(dependency)] = 1
+        service.mod_revisions[job_key(dependency)] = 1
     assert submit(service, "job-999999", names).status == 422
     assert not service.keys
 
@@ -305,20 +307,20 @@
 def test_a_split_list_keeps_its_order_and_each_part_fits(names, most):
     parts = split_list(names, most)
     assert [entry for part in parts for entry in part] == names
-    assert all(part and len(raw(part)) <= most for part in parts)
+    assert all(part and len(encode_value(part)) <= most for part in parts)
 
 
 def test_the_graph_keeps_nothing_of_pipelines_that_are_over():
     """Each later pass over all members would look at every job that was ever cancelled."""
     graph = DependencyGraph()
-    for last in (Outcome.DONE, Outcome.ABORTED):
+    for last in (DependencyOutcome.DONE, DependencyOutcome.ABORTED):
         first, second, third = (f"job-{last.value}-{place}" for place in range(3))
         for job, needs in ((first, []), (second, [first]), (third, [first, second])):
-            graph.observe(job, Outcome.OPEN)
+            graph.observe(job, DependencyOutcome.OPEN)
             graph.add(job, needs)
         assert len(graph.members()) == 3
         graph.observe(first, last)
-        graph.observe(second, Outcome.ABORTED)
+        graph.observe(second, DependencyOutcome.ABORTED)
         assert not graph.members() and graph.is_cancelled(third) and not graph.is_released(third)
         # One that names a cancelled job later leaves nothing either.
         assert graph.add(f"{third}-late", [third]) == {f"{third}-late"} and not graph.members()
--- a/spindleglade/submissions/test_submissions.py
+++ b/spindleglade/submissions/test_submissions.py
@@ -10,29 +10,36 @@
 
 from spindleglade.settings import Team
 from spindleglade.settings.platform import NextStateLimits, StateLimits
-from spindleglade.store.client import Committed, Put, Refused, TooLarge, Unavailable, raw
-from spindleglade.store.replica import Unconfirmed
+from spindleglade.store.client import (
+    Committed,
+    ConditionFailed,
+    NotAppliedError,
+    Put,
+    ValueTooLargeError,
+    encode_value,
+)
+from spindleglade.store.replica import StaleReplicaError
 from spindleglade.submissions.api import UserApi
 from spindleglade.submissions.messages import (
-    Impossible,
     MachineShape,
-    check_possible,
+    UnschedulableJobError,
+    check_schedulable,
+    decode_job_reference,
     decode_submission,
-    named_job,
 )
 from spindleglade.submissions.records import (
-    Chunk,
     JobRecord,
-    Placement,
-    chunk_key,
-    chunk_size,
-    end_record,
+    StoredAttempt,
+    TaskRangeRecord,
+    consecutive_runs,
+    final_record,
     job_key,
-    runs,
-    split_chunk_key,
+    range_key,
+    split_range_key,
+    tasks_per_range,
 )
 from spindleglade.submissions.views import JobViews
-from spindleglade.tasks import spawn
+from spindleglade.tasks import run_in_background
 
 GOOD = {
     "ref": "job-000412",
@@ -74,7 +81,7 @@
         True,
         900.0,
     )
-    check_possible(job, TEAMS, SHAPES)
+    check_schedulable(job, TEAMS, SHAPES)
 
 
 @pytest.mark.parametrize("field", GOOD)
@@ -116,7 +123,7 @@
     body = start + b'"x":' + b"[" * 30_000
     with pytest.raises(msgspec.DecodeError):
         decode_submission(body)
-    assert named_job(body) is None
+    assert decode_job_reference(body) is None
 
 
 @pytest.mark.parametrize(
@@ -134,61 +141,63 @@
     ],
 )
 def test_what_can_never_run_is_told_apart(change):
-    with pytest.raises(Impossible):
-        check_possible(decode_submission(encode(**change)), TEAMS, SHAPES)
+    with pytest.raises(UnschedulableJobError):
+        check_schedulable(decode_submission(encode(**change)), TEAMS, SHAPES)
 
 
 @pytest.mark.parametrize("change", [{}, {"threads": 100_000}, {"weave": "group", "threads": 1000}])
 def test_a_team_with_a_limit_of_0_has_no_limit(change):
     """All 795 jobs of a guest team were answered 422."""
-    check_possible(decode_submission(encode(crew="guest", **change)), {"guest": Team("guest")}, SHAPES)
+    check_schedulable(decode_submission(encode(crew="guest", **change)), {"guest": Team("guest")}, SHAPES)
 
 
 @given(st.sets(st.integers(0, 300)))
 def test_runs_hold_the_same_numbers(numbers):
-    found = runs(sorted(numbers))
+    found = consecutive_runs(sorted(numbers))
     assert {number for first, last in found for number in range(first, last + 1)} == numbers
-    assert Chunk(done=found).count_done() == len(numbers)
+    assert TaskRangeRecord(done=found).count_done() == len(numbers)
 
 
 @given(
     st.dictionaries(
         st.integers(0, 99_999),
-        st.builds(Placement, st.integers(1, 1 << 32), st.text(max_size=20), st.integers(1, 1 << 32)),
+        st.builds(StoredAttempt, st.integers(1, 1 << 32), st.text(max_size=20), st.integers(1, 1 << 32)),
         max_size=5,
     ),
     st.dictionaries(st.integers(0, 99_999), st.integers(1, 1 << 32), max_size=5),
 )
 def test_chunks_come_back_as_they_were_written(placed, tried):
-    chunk = Chunk([(1, 2)], placed, tried)
-    assert msgspec.json.decode(raw(chunk), type=Chunk) == chunk
+    chunk = TaskRangeRecord([(1, 2)], placed, tried)
+    assert msgspec.json.decode(encode_value(chunk), type=TaskRangeRecord) == chunk
 
 
 @pytest.mark.parametrize("value_kb", [0.5, 4.0, 16.0, 64.0])
 def test_the_longest_chunk_fits_into_a_value(value_kb):
-    size = chunk_size(StateLimits(100.0, 40.0, value_kb, 12).value_bytes)
-    longest = Placement(1 << 32, "n-0000000000000000", 1 << 32)
-    chunk = Chunk(placed={99_999 - index: longest for index in range(size)})
-    assert len(raw(chunk)) <= value_kb * 1024
-    assert split_chunk_key(chunk_key("job-1", 390)) == ("job-1", 390)
+    size = tasks_per_range(StateLimits(100.0, 40.0, value_kb, 12).value_bytes)
+    longest = StoredAttempt(1 << 32, "n-0000000000000000", 1 << 32)
+    chunk = TaskRangeRecord(placed={99_999 - index: longest for index in range(size)})
+    assert len(encode_value(chunk)) <= value_kb * 1024
+    assert split_range_key(range_key("job-1", 390)) == ("job-1", 390)
 
 
 def test_a_view_is_pending_running_and_final():
     views = JobViews()
     job = decode_submission(encode())
-    views.listener(job_key(job.id), raw(JobRecord("open", job, 8)), 1)
-    assert views.jobs[job.id].stage == "pending"
-    views.listener(chunk_key(job.id, 0), raw(Chunk([(0, 1)], {2: Placement(1, "n-1", 1)})), 2)
-    assert views.jobs[job.id].stage == "running" and views.jobs[job.id].done_count == 2
-    views.listener(job_key(job.id), raw(JobRecord("done", job, 8)), 3)
-    views.listener(chunk_key(job.id, 0), None, 4)
-    assert views.jobs[job.id].stage == "done" and views.jobs[job.id].done_count == 16
+    views.on_change(job_key(job.id), encode_value(JobRecord("open", job, 8)), 1)
+    assert views.jobs[job.id].state == "pending"
+    views.on_change(
+        range_key(job.id, 0), encode_value(TaskRangeRecord([(0, 1)], {2: StoredAttempt(1, "n-1", 1)})), 2
+    )
+    assert views.jobs[job.id].state == "running" and views.jobs[job.id].done_count == 2
+    views.on_change(job_key(job.id), encode_value(JobRecord("done", job, 8)), 3)
+    views.on_change(range_key(job.id, 0), None, 4)
+    assert views.jobs[job.id].state == "done" and views.jobs[job.id].done_count == 16
 
 
 CHUNK_CHANGES = [
     ("job", JobRecord("open", decode_submission(encode()), 8)),
-    ("task", Chunk([(0, 1)], {2: Placement(1, "n-1", 1)})),
-    ("task", Chunk([(0, 2)], {3: Placement(1, "n-1", 1), 4: Placement(1, "n-1", 1)})),
+    ("task", TaskRangeRecord([(0, 1)], {2: StoredAttempt(1, "n-1", 1)})),
+    ("task", TaskRangeRecord([(0, 2)], {3: StoredAttempt(1, "n-1", 1), 4: StoredAttempt(1, "n-1", 1)})),
 ]
 
 
@@ -199,14 +208,14 @@
     views = JobViews()
     for at in order:
         kind, record = CHUNK_CHANGES[at]
-        key = job_key("job-000412") if kind == "job" else chunk_key("job-000412", 0)
-        views.listener(key, raw(record), at + 1)
+        key = job_key("job-000412") if kind == "job" else range_key("job-000412", 0)
+        views.on_change(key, encode_value(record), at + 1)
     view = views.jobs["job-000412"]
-    assert (view.stage, view.done_count, view.running) == ("running", 3, 2)
+    assert (view.state, view.done_count, view.running) == ("running", 3, 2)
     # Chunks that are removed before their job is known leave nothing behind.
-    views.listener(chunk_key("job-2", 0), raw(Chunk([(0, 1)])), 5)
-    views.listener(chunk_key("job-2", 0), None, 6)
-    assert not views.chunks_before_job
+    views.on_change(range_key("job-2", 0), encode_value(TaskRangeRecord([(0, 1)])), 5)
+    views.on_change(range_key("job-2", 0), None, 6)
+    assert not views.ranges_before_job
 
 
 class Service:
@@ -216,7 +225,7 @@
     def __init__(self):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
         self.value_bytes, self.most, self.refused = 16 * 1024, 16 * 1024, []
-        self.keys, self.marks, self.turn, self.reachable = {}, {}, 0, True
+        self.keys, self.mod_revisions, self.revision, self.reachable = {}, {}, 0, True
         self.views = JobViews()
         self.answer = None
         self.api = UserApi(self, self, self.views, TEAMS, lambda: SHAPES, self.forward, lambda: None)
@@ -225,42 +234,42 @@
         return None
 
     def write(self, writes):
-        self.turn += 1
+        self.revision += 1
         for write in writes:
-            self.keys[write.key] = (bytes(write.value), self.turn)
+            self.keys[write.key] = (bytes(write.value), self.revision)
 
-    async def txn(self, when, writes, urgent=False):
+    async def compare_and_swap(self, conditions, writes, urgent=False):
         if not self.reachable:
-            raise Unavailable("503")
+            raise NotAppliedError("503")
         if any(len(write.value) > self.most for write in writes):
             assert writes not in self.refused, "repeated unchanged"
             self.refused.append(writes)
             self.value_bytes = self.limits.value_bytes
-            raise TooLarge("400")
-        failed = {at.key for at in when if self.keys.get(at.key, (b"", 0))[1] != at.mark}
+            raise ValueTooLargeError("400")
+        failed = {at.key for at in conditions if self.keys.get(at.key, (b"", 0))[1] != at.mod_revision}
         if failed:
-            return Refused(frozenset(failed), self.turn)
+            return ConditionFailed(frozenset(failed), self.revision)
         self.write(writes)
-        turn = self.turn
+        revision = self.revision
         if self.answer is not None:
             await self.answer
-        return Committed(turn)
+        return Committed(revision)
 
-    async def confirm(self):
+    async def catch_up(self):
         if not self.reachable:
-            raise Unconfirmed("503")
-        for key, (value, mark) in self.keys.items():
-            self.learn(key, value, mark)
+            raise StaleReplicaError("503")
+        for key, (value, mod_revision) in self.keys.items():
+            self.observe(key, value, mod_revision)
 
-    def learn(self, key, value, mark):
-        if mark > self.marks.get(key, 0):
-            self.marks[key] = mark
-            self.views.listener(key, bytes(value), mark)
+    def observe(self, key, value, mod_revision):
+        if mod_revision > self.mod_revisions.get(key, 0):
+            self.mod_revisions[key] = mod_revision
+            self.views.on_change(key, bytes(value), mod_revision)
 
     def ask(self, method, path, body=b""):
         """The answer; None as long as there is none."""
         answers = []
-        spawn(self.api.handle(method, path, body), "request").addCallback(answers.append)
+        run_in_background(self.api.handle(method, path, body), "request").addCallback(answers.append)
         return answers
 
     def status(self, *request):
@@ -282,7 +291,9 @@
     service = Service()
     assert service.status("POST", "/submissions", body) in (400, 422)
     # Accepted elsewhere: this replica does not know it yet.
-    service.write([Put(job_key("job-000412"), raw(JobRecord("open", decode_submission(encode()), 8)))])
+    service.write(
+        [Put(job_key("job-000412"), encode_value(JobRecord("open", decode_submission(encode()), 8)))]
+    )
     service.reachable = False
     assert service.status("POST", "/submissions", body) == 503
     service.reachable = True
@@ -313,7 +324,7 @@
 
 def test_a_job_whose_record_cannot_be_read_is_not_called_unknown():
     service = Service()
-    service.marks[job_key("job-000412")] = 3
+    service.mod_revisions[job_key("job-000412")] = 3
     assert service.status("GET", "/submissions/job-000412") == 503
     assert service.status("POST", "/submissions/job-000412/abort") == 503
     assert service.status("GET", "/submissions/job-1") == 404
@@ -327,7 +338,7 @@
     service = Service()
     service.limits = StateLimits(100.0, 40.0, 16.0, 12, NextStateLimits(value_kb=2.0))
     assert service.status("POST", "/submissions", LARGE) == 400 and not service.refused
-    service.write([Put(job_key("job-000412"), raw(JobRecord("open", decode_submission(LARGE), 8)))])
+    service.write([Put(job_key("job-000412"), encode_value(JobRecord("open", decode_submission(LARGE), 8)))])
     assert service.status("POST", "/submissions", LARGE) == 200
     # Nor where the service takes less than the settings say.
     service = Service()
@@ -339,12 +350,12 @@
     service = Service()
     service.limits = StateLimits(100.0, 40.0, 16.0, 12, NextStateLimits(value_kb=2.0))
     spec = decode_submission(LARGE)
-    service.write([Put(job_key(spec.id), raw(JobRecord("open", spec, 8)))])
+    service.write([Put(job_key(spec.id), encode_value(JobRecord("open", spec, 8)))])
     service.most = 2048
     assert b"aborted" in service.ask("POST", "/submissions/job-000412/abort")[0].body
     assert len(service.refused) == 1
     kept = msgspec.json.decode(service.keys[job_key(spec.id)][0], type=JobRecord)
-    assert kept.stage == "aborted" and kept.chunk == 8
+    assert kept.state == "aborted" and kept.range_size == 8
     assert (kept.spec.team, kept.spec.cpus, kept.spec.gpus, kept.spec.memory_gb, kept.spec.tasks) == (
         spec.team, spec.cpus, spec.gpus, spec.memory_gb, spec.tasks,
     )  # fmt: skip
@@ -352,6 +363,8 @@
 
 def test_the_record_of_a_job_that_is_over_is_shortened_only_where_it_must_be():
     record = JobRecord("open", decode_submission(LARGE), 8)
-    whole = msgspec.structs.replace(record, stage="done")
-    assert end_record(record, "done", None) == whole == end_record(record, "done", len(raw(whole)))
-    assert len(raw(end_record(record, "done", 1843))) <= 1843
+    whole = msgspec.structs.replace(record, state="done")
+    assert (
+        final_record(record, "done", None) == whole == final_record(record, "done", len(encode_value(whole)))
+    )
+    assert len(encode_value(final_record(record, "done", 1843))) <= 1843
--- a/spindleglade/tasks.py
+++ b/spindleglade/tasks.py
@@ -12,7 +12,7 @@
 log = logging.getLogger("spindleglade")
 
 
-def spawn(
+def run_in_background(
     work: Coroutine[Any, Any, Any], what: str, broken: Callable[[str], None] | None = None
 ) -> Deferred[Any]:
     def failed(failure: Any) -> None:
@@ -23,6 +23,8 @@
     return ensureDeferred(work).addErrback(failed)
 
 
-def keep(clock: Clock, make: Callable[[], Coroutine[Any, Any, Any]], what: str) -> None:
+def run_forever(clock: Clock, make: Callable[[], Coroutine[Any, Any, Any]], what: str) -> None:
     """A loop that the node cannot do without: if it breaks it begins again, a second later."""
-    spawn(make(), what, lambda _: clock.later(timedelta(seconds=1), keep, clock, make, what))
+    run_in_background(
+        make(), what, lambda _: clock.later(timedelta(seconds=1), run_forever, clock, make, what)
+    )
--- a/spindleglade/test_leader.py
+++ b/spindleglade/test_leader.py
@@ -6,22 +6,22 @@
 from twisted.internet.defer import Deferred
 
 from spindleglade.clock import ManualClock, seconds
-from spindleglade.histories import HistoryRecorder
+from spindleglade.histories import HistoryWriter
 from spindleglade.leader import Leader
 from spindleglade.leadership.election import LEADER, Term
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.client import Committed, Entry, Refused, Unknown, raw
+from spindleglade.store.client import Committed, ConditionFailed, Entry, OutcomeUnknownError, encode_value
 from spindleglade.submissions.records import (
     HISTORY,
-    Chunk,
     JobRecord,
-    Placement,
-    chunk_key,
+    StoredAttempt,
+    TaskRangeRecord,
     job_key,
+    range_key,
 )
 from spindleglade.submissions.views import JobViews
-from spindleglade.tasks import spawn
+from spindleglade.tasks import run_in_background
 from spindleglade.workers.test_cluster import TOKEN, make_cluster, spec
 from tests.deployment import Deployment, platform
 
@@ -32,31 +32,31 @@
 
     def __init__(self, late=()):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
-        self.turn, self.keys, self.asked, self.late = 10, {LEADER: (b"{}", 5)}, 0, set(late)
+        self.revision, self.keys, self.asked, self.late = 10, {LEADER: (b"{}", 5)}, 0, set(late)
         self.held, self.slow = [], None
 
-    def _apply(self, when, writes):
-        failed = {at.key for at in when if self.keys.get(at.key, (b"", 0))[1] != at.mark}
+    def _apply(self, conditions, writes):
+        failed = {at.key for at in conditions if self.keys.get(at.key, (b"", 0))[1] != at.mod_revision}
         if failed:
-            return Refused(frozenset(failed), self.turn)
-        self.turn += 1
+            return ConditionFailed(frozenset(failed), self.revision)
+        self.revision += 1
         for write in writes:
-            self.keys[write.key] = (bytes(write.value), self.turn)
-        return Committed(self.turn)
+            self.keys[write.key] = (bytes(write.value), self.revision)
+        return Committed(self.revision)
 
-    async def txn(self, when, writes, urgent=False):
+    async def compare_and_swap(self, conditions, writes, urgent=False):
         self.asked += 1
         if self.asked in self.late:
-            self.held.append((when, writes))
-            raise Unknown("timed out")
-        result = self._apply(when, writes)
+            self.held.append((conditions, writes))
+            raise OutcomeUnknownError("timed out")
+        result = self._apply(conditions, writes)
         if self.slow is not None:
             await self.slow
         return result
 
     def land(self):
-        for when, writes in self.held:
-            self._apply(when, writes)
+        for conditions, writes in self.held:
+            self._apply(conditions, writes)
 
     async def get(self, key):
         return Entry(key, msgspec.Raw(self.keys[key][0]), self.keys[key][1]) if key in self.keys else None
@@ -65,7 +65,7 @@
 class Learner:
     """Stands in for the replica: what the leader reads ahead of the watch is not needed here."""
 
-    def learn(self, key, value, mark):
+    def observe(self, key, value, mod_revision):
         pass
 
 
@@ -87,7 +87,7 @@
         Learner(),
         JobViews(),
     )
-    leader.cluster, leader.active = make_cluster(), True
+    leader.cluster, leader.is_active = make_cluster(), True
     return leader, deposed
 
 
@@ -95,15 +95,15 @@
     """A recorder of histories, its cluster state, and what it was deposed for."""
     cluster, deposed = make_cluster(), []
     predictor = make(store)[0].predictor
-    recorder = HistoryRecorder(cluster, predictor, store, Term(TOKEN, 5, 1), {}, deposed.append)
+    recorder = HistoryWriter(cluster, predictor, store, Term(TOKEN, 5, 1), {}, deposed.append)
     return recorder, cluster, deposed
 
 
 def learn(recorder, runs):
     for _ in range(runs):
         recorder._predictor.add("t", seconds(9))
-    recorder._cluster.learned = {"t"}
-    spawn(recorder.record(), "history")
+    recorder._cluster.teams_with_new_runs = {"t"}
+    run_in_background(recorder.record(), "history")
 
 
 def runs_on_record(store):
@@ -115,9 +115,9 @@
     store = Store(late=[1])
     recorder, cluster, deposed = make_recorder(store)
     learn(recorder, 1)
-    assert cluster.learned == {"t"}
+    assert cluster.teams_with_new_runs == {"t"}
     learn(recorder, 1)
-    assert runs_on_record(store) == 2 and not cluster.learned
+    assert runs_on_record(store) == 2 and not cluster.teams_with_new_runs
     store.land()
     assert runs_on_record(store) == 2 and not deposed
 
@@ -129,7 +129,7 @@
     store.land()
     learn(recorder, 1)
     # Refused: what is there was read, and it is written the next time.
-    assert runs_on_record(store) == 1 and cluster.learned == {"t"}
+    assert runs_on_record(store) == 1 and cluster.teams_with_new_runs == {"t"}
     learn(recorder, 1)
     assert runs_on_record(store) == 3 and not deposed
 
@@ -151,22 +151,22 @@
 def test_a_record_that_cannot_be_read_stops_no_leader_and_its_job_is_left_alone():
     """One such record, and no node could lead: each broke in taking over."""
     leader, _ = make(Store())
-    opened = {id: raw(JobRecord("open", spec(id), 256)) for id in ("job-1", "job-2", "job-3")}
-    chunk = raw(Chunk(placed={0: Placement(1, "n-1", 1)}))
+    opened = {id: encode_value(JobRecord("open", spec(id), 256)) for id in ("job-1", "job-2", "job-3")}
+    chunk = encode_value(TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)}))
     entries = [
-        Entry(HISTORY + "t", raw([]), 2),
+        Entry(HISTORY + "t", encode_value([]), 2),
         Entry(job_key("job-1"), opened["job-1"], 3),
-        Entry(job_key("job-2"), raw({"stage": "resting"}), 4),
+        Entry(job_key("job-2"), encode_value({"stage": "resting"}), 4),
         Entry(job_key("job-3"), opened["job-3"], 5),
-        Entry(chunk_key("job-1", 0), chunk, 6),
-        Entry(chunk_key("job-2", 0), chunk, 7),
-        Entry(chunk_key("job-3", 0), chunk, 8),
-        Entry(chunk_key("job-3", 1), raw({"placed": 3}), 9),
+        Entry(range_key("job-1", 0), chunk, 6),
+        Entry(range_key("job-2", 0), chunk, 7),
+        Entry(range_key("job-3", 0), chunk, 8),
+        Entry(range_key("job-3", 1), encode_value({"placed": 3}), 9),
         Entry("sg/task/job-4/x", chunk, 10),
     ]
-    marks = leader._read(leader.cluster, entries, timedelta(0))
-    assert set(leader.cluster.jobs) == {"job-1"} and marks == {chunk_key("job-1", 0): 6}
-    assert [job for job, _ in leader.cluster.dirty] == []
+    mod_revisions = leader._load_records(leader.cluster, entries, timedelta(0))
+    assert set(leader.cluster.jobs) == {"job-1"} and mod_revisions == {range_key("job-1", 0): 6}
+    assert [job for job, _ in leader.cluster.pending_writes] == []
     # Nor when the replica tells of it later.
-    leader._take(leader.cluster, JobRecord("open", spec("job-3"), 256), 5)
+    leader._observe_job(leader.cluster, JobRecord("open", spec("job-3"), 256), 5)
     assert set(leader.cluster.jobs) == {"job-1"}
--- a/spindleglade/test_loop.py
+++ b/spindleglade/test_loop.py
@@ -5,7 +5,7 @@
 import pytest
 
 from spindleglade.clock import ZERO, ManualClock, seconds, sleep
-from spindleglade.loop import FAILURES_TO_STALL, LONGEST_PASS, LONGEST_PAUSE, Loop
+from spindleglade.loop import MAX_FAILURE_PAUSE, MAX_PASS_DURATION, STALLED_AFTER_FAILURES, PeriodicTask
 
 EVERY = seconds(1)
 
@@ -15,7 +15,9 @@
 
     def __init__(self, does, waits_first=False):
         self.clock, self.times, self._does = ManualClock(), [], does
-        self.loop = Loop(self.clock, "counting", self._one, lambda: sleep(self.clock, EVERY), waits_first)
+        self.loop = PeriodicTask(
+            self.clock, "counting", self._one, lambda: sleep(self.clock, EVERY), waits_first
+        )
         self.loop.start()
 
     async def _one(self):
@@ -37,7 +39,7 @@
     passes.loop.stop()
     passes.clock.advance(seconds(9))
     assert passes.times == [ZERO, EVERY, EVERY * 2]
-    assert passes.loop.stalled is None
+    assert passes.loop.stall_reason is None
 
 
 def test_a_loop_may_wait_before_its_first_pass():
@@ -54,7 +56,7 @@
     passes = Passes(breaks_twice)
     passes.clock.advance(seconds(5))
     assert len(passes.times) >= 4
-    assert passes.loop.stalled is None
+    assert passes.loop.stall_reason is None
     assert [bool(record.exc_info) for record in caplog.records] == [True, False]
     assert all(record.levelno == logging.ERROR for record in caplog.records)
 
@@ -62,23 +64,23 @@
 def test_a_loop_that_only_breaks_has_stalled_and_is_tried_less_often():
     passes = Passes(breaks)
     passes.clock.advance(seconds(60))
-    assert len(passes.times) > FAILURES_TO_STALL
-    assert passes.times[-1] - passes.times[-2] == LONGEST_PAUSE
-    assert "always" in passes.loop.stalled
+    assert len(passes.times) > STALLED_AFTER_FAILURES
+    assert passes.times[-1] - passes.times[-2] == MAX_FAILURE_PAUSE
+    assert "always" in passes.loop.stall_reason
 
 
 def test_a_loop_that_works_again_has_not_stalled():
     async def breaks_at_first(number):
-        if number <= FAILURES_TO_STALL:
+        if number <= STALLED_AFTER_FAILURES:
             raise ValueError("at first")
 
     passes = Passes(breaks_at_first)
     passes.clock.advance(seconds(60))
-    assert passes.loop.stalled is None
+    assert passes.loop.stall_reason is None
 
 
-@pytest.mark.parametrize("lasts, stalled", [(LONGEST_PASS - seconds(1), False), (seconds(1000), True)])
+@pytest.mark.parametrize("lasts, stalled", [(MAX_PASS_DURATION - seconds(1), False), (seconds(1000), True)])
 def test_a_pass_that_does_not_come_back_has_stalled(lasts, stalled):
     passes = Passes(lambda number: sleep(passes.clock, lasts), waits_first=True)
-    passes.clock.advance(EVERY + LONGEST_PASS + seconds(0.5))
-    assert (passes.loop.stalled is not None) == stalled
+    passes.clock.advance(EVERY + MAX_PASS_DURATION + seconds(0.5))
+    assert (passes.loop.stall_reason is not None) == stalled
--- a/spindleglade/test_web.py
+++ b/spindleglade/test_web.py
@@ -7,9 +7,17 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from spindleglade.clock import ManualClock, seconds
-from spindleglade.sockets import Sockets
-from spindleglade.tasks import spawn
-from spindleglade.web import TURN, Answer, Crowded, Response, Turns, _TrackedEndpoint, site
+from spindleglade.sockets import ConnectionBudget
+from spindleglade.tasks import run_in_background
+from spindleglade.web import (
+    MAX_QUEUE_TIME,
+    ClientResponse,
+    ConcurrencyLimiter,
+    ConnectionLimitError,
+    HttpResponse,
+    _TrackedEndpoint,
+    http_server,
+)
 
 
 class Slow:
@@ -23,7 +31,7 @@
         self.waiting.append(Deferred())
         return await self.waiting[-1]
 
-    def let_go(self):
+    def close_idle_connections(self):
         self.let_gone += 1
 
 
@@ -33,48 +41,48 @@
     async def ask():
         try:
             results.append(await turns.request("POST", "m:1", "/orders"))
-        except Crowded as error:
+        except ConnectionLimitError as error:
             results.append(error)
 
     for _ in range(count):
-        spawn(ask(), "asking")
+        run_in_background(ask(), "asking")
     return results
 
 
 def test_only_so_many_messages_to_machines_are_under_way():
     """After a change of leader every machine is greeted, at once with more than there are sockets."""
-    http, clock, sockets = Slow(), ManualClock(), Sockets(320)
-    turns = Turns(http, clock, sockets)
-    results = asked(turns, sockets.orders_at_once + 5)
-    assert len(http.waiting) == sockets.orders_at_once == 20
+    http, clock, sockets = Slow(), ManualClock(), ConnectionBudget(320)
+    turns = ConcurrencyLimiter(http, clock, sockets)
+    results = asked(turns, sockets.max_concurrent_commands + 5)
+    assert len(http.waiting) == sockets.max_concurrent_commands == 20
     for waiter in http.waiting[:2]:
-        waiter.callback(Response(200, b""))
+        waiter.callback(ClientResponse(200, b""))
     assert len(http.waiting) == 22
     # The other three are given up, and say that it was not the machine's fault.
-    clock.advance(TURN)
-    assert [type(result) for result in results] == [Response] * 2 + [Crowded] * 3
+    clock.advance(MAX_QUEUE_TIME)
+    assert [type(result) for result in results] == [ClientResponse] * 2 + [ConnectionLimitError] * 3
     for waiter in http.waiting[2:]:
-        waiter.callback(Response(200, b""))
+        waiter.callback(ClientResponse(200, b""))
     assert len(results) == 25 and asked(turns, 20) == [] and len(http.waiting) == 42
 
 
 def test_the_reserve_is_left_alone_and_nothing_idle_is_kept_near_it():
-    http, sockets = Slow(), Sockets(320)
-    turns = Turns(http, ManualClock(), sockets)
+    http, sockets = Slow(), ConnectionBudget(320)
+    turns = ConcurrencyLimiter(http, ManualClock(), sockets)
     sockets.open = 239
     asked(turns, 1)
-    http.waiting.pop().callback(Response(200, b""))
+    http.waiting.pop().callback(ClientResponse(200, b""))
     assert http.let_gone == 0
     sockets.open = 240
     asked(turns, 1)
-    http.waiting.pop().callback(Response(200, b""))
+    http.waiting.pop().callback(ClientResponse(200, b""))
     assert http.let_gone == 1
     sockets.open = 280
-    assert isinstance(asked(turns, 1)[0], Crowded) and not http.waiting
+    assert isinstance(asked(turns, 1)[0], ConnectionLimitError) and not http.waiting
 
 
 def test_a_connection_counts_from_the_attempt_to_its_end():
-    reactor, sockets = MemoryReactorClock(), Sockets(320)
+    reactor, sockets = MemoryReactorClock(), ConnectionBudget(320)
 
     def connect():
         endpoint = _TrackedEndpoint(reactor, "10.0.0.1", 9000)
@@ -117,10 +125,10 @@
     """Machines that died or are cut off never tell; their connections used to stay for good."""
 
     async def handle(method, path, body):
-        return Answer(200, b"{}")
+        return HttpResponse(200, b"{}")
 
-    clock, sockets = ManualClock(), Sockets(320)
-    front = site(handle, sockets, clock, seconds(14))
+    clock, sockets = ManualClock(), ConnectionBudget(320)
+    front = http_server(handle, sockets, clock, seconds(14))
     worker, user, fresh = Peer(front), Peer(front), Peer(front)
     assert sockets.open == 3
     if crowded:
@@ -129,12 +137,12 @@
     user.send(b"/submissions")
     clock.advance(seconds(13))
     fresh.send(b"/v1/report")
-    assert front.tidy() == 0
+    assert front.close_idle() == 0
     clock.advance(seconds(1.5))
-    assert front.tidy() == 1 and worker.closed and not fresh.closed
+    assert front.close_idle() == 1 and worker.closed and not fresh.closed
     clock.advance(seconds(users_idle - 15))
     fresh.send(b"/v1/report")
-    assert front.tidy() == 0
+    assert front.close_idle() == 0
     clock.advance(seconds(1))
-    assert front.tidy() == 1 and user.closed and not fresh.closed
+    assert front.close_idle() == 1 and user.closed and not fresh.closed
     assert len(front.channels) == 1 and sockets.open == (301 if crowded else 1)
--- a/spindleglade/throttle.py
+++ b/spindleglade/throttle.py
@@ -5,18 +5,18 @@
 from spindleglade.clock import Clock
 
 
-class Throttle:
+class LogThrottle:
     """Allows something at most once in `every`."""
 
     def __init__(self, clock: Clock, every: timedelta) -> None:
         self._clock = clock
-        self._every = every
+        self._interval = every
         self._allowed_at: timedelta | None = None
 
     def allows(self) -> bool:
         """Whether it may be done now; if so, not again for a while."""
         now = self._clock.now()
-        if self._allowed_at is not None and now - self._allowed_at < self._every:
+        if self._allowed_at is not None and now - self._allowed_at < self._interval:
             return False
         self._allowed_at = now
         return True
--- a/spindleglade/web.py
+++ b/spindleglade/web.py
@@ -17,27 +17,27 @@
 from zope.interface import implementer
 
 from spindleglade.clock import Clock
-from spindleglade.sockets import Sockets
+from spindleglade.sockets import ConnectionBudget
 
 log = logging.getLogger("spindleglade.web")
 
 BODY_LIMIT = 64 * 1024
 
 
-class Response(NamedTuple):
+class ClientResponse(NamedTuple):
     status: int
     body: bytes
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """The request got no response: it may have been carried out, or may still be, later."""
 
 
-class NotSent(NoAnswer):
+class NotSentError(NoResponseError):
     """The connection was never made, so the request cannot have been carried out, now or later."""
 
 
-class Crowded(NotSent):
+class ConnectionLimitError(NotSentError):
     """This process has no connection to spare; it says nothing about the other side."""
 
 
@@ -62,37 +62,37 @@
     """Connects by number; a failure to connect is told apart from a lost answer. Connections are counted from
     the attempt to the end: one that hangs holds a socket too."""
 
-    sockets: Sockets | None = None
+    sockets: ConnectionBudget | None = None
 
     def connect(self, factory: Any) -> defer.Deferred[Any]:
         sockets = self.sockets
 
         def failed(failure: Any) -> Any:
             if sockets is not None:
-                sockets.closed()
+                sockets.on_closed()
             if failure.check(defer.CancelledError):
                 return failure
-            raise NotSent(failure.getErrorMessage())
+            raise NotSentError(failure.getErrorMessage())
 
         def made(protocol: Any) -> Any:
             if sockets is not None:
                 ended = protocol.connectionLost
 
                 def lost(reason: Any) -> None:
-                    sockets.closed()
+                    sockets.on_closed()
                     ended(reason)
 
                 protocol.connectionLost = lost
             return protocol
 
         if sockets is not None:
-            sockets.opened()
+            sockets.on_opened()
         return super().connect(factory).addCallbacks(made, failed)
 
 
 @implementer(IAgentEndpointFactory)
 class _Endpoints:
-    def __init__(self, reactor: Any, connect_timeout: timedelta, sockets: Sockets | None) -> None:
+    def __init__(self, reactor: Any, connect_timeout: timedelta, sockets: ConnectionBudget | None) -> None:
         self.reactor = reactor
         self.timeout = connect_timeout.total_seconds()
         self.sockets = sockets
@@ -111,15 +111,15 @@
         path: str,
         body: bytes | None = None,
         timeout: timedelta | None = None,
-    ) -> Response:
+    ) -> ClientResponse:
         """Raises NotSent or NoAnswer; every call ends within its timeout."""
         ...
 
 
-class Keeper(Requester, Protocol):
+class PooledRequester(Requester, Protocol):
     """One that keeps its connections."""
 
-    def let_go(self) -> None:
+    def close_idle_connections(self) -> None:
         """Closes the connections that are kept and not in use."""
         ...
 
@@ -133,7 +133,7 @@
         per_host: int,
         connect_timeout: timedelta = timedelta(seconds=2),
         idle: timedelta = timedelta(seconds=60),
-        sockets: Sockets | None = None,
+        sockets: ConnectionBudget | None = None,
     ) -> None:
         self._reactor = reactor
         pool = HTTPConnectionPool(reactor, persistent=True)
@@ -154,7 +154,7 @@
         path: str,
         body: bytes | None = None,
         timeout: timedelta | None = None,
-    ) -> Response:
+    ) -> ClientResponse:
         timeout = timeout or timedelta(seconds=5)
         sent = self._agent.request(
             method.encode(),
@@ -162,37 +162,37 @@
             self._headers if body is not None else None,
             _Body(body) if body is not None else None,
         )
-        whole: defer.Deferred[Response] = sent.addCallback(self._read)
+        whole: defer.Deferred[ClientResponse] = sent.addCallback(self._read)
         whole.addTimeout(timeout.total_seconds(), self._reactor)
         try:
             return await whole
-        except NotSent:
+        except NotSentError:
             raise
         except Exception as error:
-            raise NoAnswer(f"{method} {path}: {type(error).__name__} {error}") from None
+            raise NoResponseError(f"{method} {path}: {type(error).__name__} {error}") from None
 
-    def let_go(self) -> None:
+    def close_idle_connections(self) -> None:
         self._pool.closeCachedConnections()
 
     @staticmethod
-    def _read(response: Any) -> defer.Deferred[Response]:
-        return readBody(response).addCallback(lambda body: Response(response.code, body))
+    def _read(response: Any) -> defer.Deferred[ClientResponse]:
+        return readBody(response).addCallback(lambda body: ClientResponse(response.code, body))
 
 
 # How long a request waits for its turn.
-TURN = timedelta(seconds=0.5)
+MAX_QUEUE_TIME = timedelta(seconds=0.5)
 
 
-class Turns:
+class ConcurrencyLimiter:
     """Lets only so many requests be under way at a time, and keeps connections only while there are enough to
     spare. After all controllers have restarted, a leader has something to say to every machine at once."""
 
-    def __init__(self, http: Keeper, clock: Clock, sockets: Sockets) -> None:
+    def __init__(self, http: PooledRequester, clock: Clock, sockets: ConnectionBudget) -> None:
         self._http = http
         self._clock = clock
-        self._sockets = sockets
-        self.at_once = sockets.orders_at_once
-        self._turns = defer.DeferredSemaphore(self.at_once)
+        self._connection_budget = sockets
+        self.max_concurrent = sockets.max_concurrent_commands
+        self._semaphore = defer.DeferredSemaphore(self.max_concurrent)
 
     async def request(
         self,
@@ -201,26 +201,26 @@
         path: str,
         body: bytes | None = None,
         timeout: timedelta | None = None,
-    ) -> Response:
-        turn = self._turns.acquire()
-        late = None if turn.called else self._clock.later(TURN, turn.cancel)
+    ) -> ClientResponse:
+        turn = self._semaphore.acquire()
+        late = None if turn.called else self._clock.later(MAX_QUEUE_TIME, turn.cancel)
         try:
             await turn
         except defer.CancelledError:
-            raise Crowded(f"{method} {path}: too many under way") from None
+            raise ConnectionLimitError(f"{method} {path}: too many under way") from None
         if late is not None and late.active():
             late.cancel()
         try:
-            if self._sockets.full:
-                raise Crowded(f"{method} {path}: no connection to spare")
+            if self._connection_budget.exhausted:
+                raise ConnectionLimitError(f"{method} {path}: no connection to spare")
             return await self._http.request(method, address, path, body, timeout)
         finally:
-            self._turns.release()
-            if self._sockets.crowded:
-                self._http.let_go()
+            self._semaphore.release()
+            if self._connection_budget.nearly_exhausted:
+                self._http.close_idle_connections()
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """What an interface answers: a status, a JSON body, and when to come back."""
 
     status: int
@@ -230,10 +230,10 @@
 
 encode_json = msgspec.json.encode
 
-Handler = Callable[[str, str, bytes], Awaitable[Answer]]
+Handler = Callable[[str, str, bytes], Awaitable[HttpResponse]]
 
 
-class Endpoint(Resource):
+class RequestResource(Resource):
     """Hands every request to one coroutine, which gets method, path and body."""
 
     isLeaf = True
@@ -252,17 +252,17 @@
         request.notifyFinish().addErrback(gone.append)
         path = request.path.decode("utf-8", "replace")
         running = defer.ensureDeferred(self._handler(request.method.decode("ascii", "replace"), path, body))
-        running.addErrback(self._broken, path)
-        running.addCallback(self._send, request, gone)
+        running.addErrback(self._on_handler_failed, path)
+        running.addCallback(self._send_response, request, gone)
         return NOT_DONE_YET
 
     @staticmethod
-    def _broken(failure: Any, path: str) -> Answer:
+    def _on_handler_failed(failure: Any, path: str) -> HttpResponse:
         log.error("request failed path=%s error=%s", path, failure.getTraceback())
-        return Answer(503, b"", 1)
+        return HttpResponse(503, b"", 1)
 
     @staticmethod
-    def _send(answer: Answer, request: Request, gone: list[Any]) -> None:
+    def _send_response(answer: HttpResponse, request: Request, gone: list[Any]) -> None:
         if gone:
             return
         request.setResponseCode(answer.status)
@@ -284,11 +284,11 @@
         super().connectionMade()
         self.used = self.site.clock.now()
         self.site.channels.add(self)
-        self.site.sockets.opened()
+        self.site.sockets.on_opened()
 
     def connectionLost(self, reason: Any) -> None:
         self.site.channels.discard(self)
-        self.site.sockets.closed()
+        self.site.sockets.on_closed()
         super().connectionLost(reason)
 
 
@@ -298,34 +298,38 @@
         # of reports a second a tenth of its time.
         channel = self.channel
         channel.used = channel.site.clock.now()
-        channel.worker = self.path == REPORT_PATH
+        channel.worker = self.path == HEARTBEAT_PATH
         channel.site.resource.render(self)
 
 
-REPORT_PATH = b"/v1/report"
+HEARTBEAT_PATH = b"/v1/report"
 # Users ask every few seconds; a connection that has been silent for so long is one that they have left, and
 # for the shorter time where connections run short.
-USERS_IDLE_S, USERS_CROWDED_S = 60.0, 15.0
+USER_IDLE_LIMIT_S, USER_IDLE_LIMIT_UNDER_PRESSURE_S = 60.0, 15.0
 
 
-class CountedSite(Site):
+class HttpServer(Site):
     """Knows its connections, and closes those that nobody uses: of machines that died or are cut off, of
     users that reconnected. None of them tells that it is gone."""
 
-    def __init__(self, handler: Handler, sockets: Sockets, clock: Clock, workers_idle: timedelta) -> None:
+    def __init__(
+        self, handler: Handler, sockets: ConnectionBudget, clock: Clock, workers_idle: timedelta
+    ) -> None:
         # Bodies are JSON; looking whether they are forms takes a quarter of a request's time.
         super().__init__(
-            Endpoint(handler), requestFactory=_Request, timeout=None, parsePOSTFormSubmission=False
+            RequestResource(handler), requestFactory=_Request, timeout=None, parsePOSTFormSubmission=False
         )
         self.channels: set[Any] = set()
         self.sockets = sockets
         self.clock = clock
         self._workers_idle = workers_idle
 
-    def tidy(self) -> int:
+    def close_idle(self) -> int:
         """Closes what is idle; returns how many those were."""
         now = self.clock.now()
-        users_idle = timedelta(seconds=USERS_CROWDED_S if self.sockets.crowded else USERS_IDLE_S)
+        users_idle = timedelta(
+            seconds=USER_IDLE_LIMIT_UNDER_PRESSURE_S if self.sockets.nearly_exhausted else USER_IDLE_LIMIT_S
+        )
         idle = [
             channel
             for channel in self.channels
@@ -337,8 +341,10 @@
         return len(idle)
 
 
-def site(handler: Handler, sockets: Sockets, clock: Clock, workers_idle: timedelta) -> CountedSite:
-    made = CountedSite(handler, sockets, clock, workers_idle)
+def http_server(
+    handler: Handler, sockets: ConnectionBudget, clock: Clock, workers_idle: timedelta
+) -> HttpServer:
+    made = HttpServer(handler, sockets, clock, workers_idle)
     made.protocol = _Channel
     made.displayTracebacks = False
     # The access log is off: it would cost more than the request itself.
