--- a/spindleglade/workers/api.py
+++ b/spindleglade/workers/api.py
@@ -15,19 +15,19 @@
 
 from spindleglade.clock import Clock
 from spindleglade.submissions.views import JobViews
-from spindleglade.web import Answer
-from spindleglade.workers.balancer import ReportBalancer, Solitude
-from spindleglade.workers.cancellation_bound import CancellationBound
-from spindleglade.workers.messages import Report, ReportAnswer, decode_report, split_task
+from spindleglade.web import HttpResponse
+from spindleglade.workers.balancer import HeartbeatBalancer, IsolationDetector
+from spindleglade.workers.cancellation_bound import CancellationFreshness
+from spindleglade.workers.messages import Heartbeat, HeartbeatResponse, decode_heartbeat, split_task
 
 log = logging.getLogger("spindleglade.workers")
 
 # For the report of a machine that is no more, or whose lease must run out.
-NOT_OURS = Answer(503, b"", None)
+LEASE_NOT_RENEWED = HttpResponse(503, b"", None)
 
 
-def _elsewhere(node: str | None) -> Answer:
-    return Answer(421, msgspec.json.encode({} if node is None else {"foreman": node}))
+def _redirect(node: str | None) -> HttpResponse:
+    return HttpResponse(421, msgspec.json.encode({} if node is None else {"foreman": node}))
 
 
 class WorkerApi:
@@ -35,82 +35,82 @@
         self,
         clock: Clock,
         views: JobViews,
-        bound: CancellationBound,
-        lead: Callable[[Report], ReportAnswer | None],
+        bound: CancellationFreshness,
+        lead: Callable[[Heartbeat], HeartbeatResponse | None],
         leads: Callable[[], bool],
         relay: Callable[[bytes], Awaitable[bytes | None]],
         saw_token: Callable[[int], None],
-        spread: ReportBalancer,
-        solitude: Solitude,
+        spread: HeartbeatBalancer,
+        solitude: IsolationDetector,
     ) -> None:
         self._clock = clock
         self._views = views
         # For renewals without the leader, which is bound by its own.
-        self._bound = bound
-        self._lead = lead
-        self._leads = leads
+        self._cancellation_freshness = bound
+        self._handle_as_leader = lead
+        self._is_leader = leads
         self._relay = relay
-        self._saw_token = saw_token
+        self._observe_token = saw_token
         self._balancer = spread
-        self._solitude = solitude
+        self._isolation = solitude
         # The newest report of each worker that came here: session and tally.
-        self._newest: dict[str, tuple[int, int]] = {}
+        self._newest_heartbeats: dict[str, tuple[int, int]] = {}
         # Machines whose leases this node renewed by itself, and when.
-        self.alone: dict[str, timedelta] = {}
+        self.renewed_without_leader: dict[str, timedelta] = {}
 
-    async def handle(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle(self, method: str, path: str, body: bytes) -> HttpResponse:
         if method != "POST":
-            return Answer(405, b'{"error":"use POST"}')
+            return HttpResponse(405, b'{"error":"use POST"}')
         try:
-            report = decode_report(body)
+            report = decode_heartbeat(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             log.warning("report dropped reason=%s", error)
-            return Answer(400, b'{"error":"malformed report"}')
-        self._saw_token(report.token)
-        newest = (report.session, report.tally) > self._newest.get(report.machine, (0, 0))
+            return HttpResponse(400, b'{"error":"malformed report"}')
+        self._observe_token(report.token)
+        newest = (report.incarnation, report.sequence) > self._newest_heartbeats.get(report.machine, (0, 0))
         if newest:
-            self._newest[report.machine] = (report.session, report.tally)
-            node = self._balancer.elsewhere(report.machine)
+            self._newest_heartbeats[report.machine] = (report.incarnation, report.sequence)
+            node = self._balancer.redirect_target(report.machine)
             if node is not None:
-                return _elsewhere(node)
-            self._balancer.reported(report.machine)
-        if self._leads():
-            answer = self.lead(report)
+                return _redirect(node)
+            self._balancer.on_heartbeat(report.machine)
+        if self._is_leader():
+            answer = self.respond_as_leader(report)
             if answer is not None:
-                return Answer(200, answer)
-            return NOT_OURS
+                return HttpResponse(200, answer)
+            return LEASE_NOT_RENEWED
         relayed = await self._relay(body)
         if relayed is not None:
-            return Answer(200, relayed) if relayed else NOT_OURS
-        return self._alone(report, newest)
+            return HttpResponse(200, relayed) if relayed else LEASE_NOT_RENEWED
+        return self._respond_without_leader(report, newest)
 
-    def lead(self, report: Report) -> bytes | None:
+    def respond_as_leader(self, report: Heartbeat) -> bytes | None:
         """The leader's answer, for its own workers and those of its siblings."""
-        answer = self._lead(report)
+        answer = self._handle_as_leader(report)
         return None if answer is None else msgspec.json.encode(answer)
 
-    def _alone(self, report: Report, newest: bool) -> Answer:
+    def _respond_without_leader(self, report: Heartbeat, newest: bool) -> HttpResponse:
         """Without the leader. A late copy of a report says nothing of how the machine is now: nothing is
         renewed for it, and nobody told that the machine lives."""
-        if not newest or not self._bound.holds:
-            return NOT_OURS
-        if self._views.may_get_aborted(report.machine, report.session):
+        if not newest or not self._cancellation_freshness.permits_renewals:
+            return LEASE_NOT_RENEWED
+        if self._views.may_run_cancelled_task(report.machine, report.incarnation):
             # A start of such a task may be on its way there, however long it has been held up. Only the end
             # of the session ends that, and nobody here could stop the task.
-            return NOT_OURS
-        if self._solitude.send_on(report.machine, report.zone):
-            return _elsewhere(None)
+            return LEASE_NOT_RENEWED
+        if self._isolation.should_redirect(report.machine, report.zone):
+            return _redirect(None)
         for entry in report.tasks:
-            if not entry.on:
+            if not entry.is_on_machine:
                 continue
             try:
                 job, _ = split_task(entry.task)
             except ValueError:
                 continue
             view = self._views.jobs.get(job)
-            if view is not None and view.stage == "aborted":
+            if view is not None and view.state == "aborted":
                 # Nobody is there to stop it, so its lease has to.
-                return NOT_OURS
-        self.alone[report.machine] = self._clock.now()
+                return LEASE_NOT_RENEWED
+        self.renewed_without_leader[report.machine] = self._clock.now()
         log.debug("lease renewed alone machine=%s token=%d", report.machine, report.token)
-        return Answer(200, msgspec.json.encode(ReportAnswer(report.token)))
+        return HttpResponse(200, msgspec.json.encode(HeartbeatResponse(report.token)))
--- a/spindleglade/workers/balancer.py
+++ b/spindleglade/workers/balancer.py
@@ -12,83 +12,85 @@
 
 from spindleglade.clock import Clock
 
-LEADERS_WEIGHT = 0.5
+LEADER_WEIGHT = 0.5
 # Workers moved for each word from a sibling.
-MOST_MOVED = 8
+MAX_MOVES = 8
 
 
-class Load(NamedTuple):
-    node: str
+class ControllerLoad(NamedTuple):
+    controller: str
     workers: int
     leads: bool
 
 
-class ReportBalancer:
+class HeartbeatBalancer:
     def __init__(self, clock: Clock, report: timedelta, siblings: int, steady: timedelta) -> None:
         self._clock = clock
-        self._recent = report * 2
-        self._count = siblings
-        self._steady = steady
+        self._recent_period = report * 2
+        self._peer_count = siblings
+        self._stable_period = steady
         # Workers that report here, and when they last did.
-        self._here: dict[str, timedelta] = {}
+        self._last_heartbeats: dict[str, timedelta] = {}
         # Those sent on; one that is back soon is left in peace.
-        self._sent: dict[str, timedelta] = {}
+        self._redirected_at: dict[str, timedelta] = {}
         self._moves: dict[str, int] = {}
-        self._whole_since: timedelta | None = None
+        self._all_peers_since: timedelta | None = None
 
     @property
     def workers(self) -> int:
         now = self._clock.now()
-        self._here = {name: at for name, at in self._here.items() if now - at <= self._recent}
-        return len(self._here)
+        self._last_heartbeats = {
+            name: at for name, at in self._last_heartbeats.items() if now - at <= self._recent_period
+        }
+        return len(self._last_heartbeats)
 
-    def reported(self, worker: str) -> None:
-        self._here[worker] = self._clock.now()
+    def on_heartbeat(self, worker: str) -> None:
+        self._last_heartbeats[worker] = self._clock.now()
 
-    def weigh(self, own: Load, others: list[Load]) -> None:
+    def rebalance(self, own: ControllerLoad, others: list[ControllerLoad]) -> None:
         """What the siblings last said of themselves; only those that serve."""
         now = self._clock.now()
         self._moves = {}
-        if len(others) < self._count:
-            self._whole_since = None
+        if len(others) < self._peer_count:
+            self._all_peers_since = None
             return
-        self._whole_since = self._whole_since or now
-        if now - self._whole_since < self._steady:
+        self._all_peers_since = self._all_peers_since or now
+        if now - self._all_peers_since < self._stable_period:
             return
         loads = [own, *others]
-        weights = {load.node: LEADERS_WEIGHT if load.leads else 1.0 for load in loads}
+        weights = {load.controller: LEADER_WEIGHT if load.leads else 1.0 for load in loads}
         each = sum(load.workers for load in loads) / sum(weights.values())
-        excess = own.workers - each * weights[own.node]
+        excess = own.workers - each * weights[own.controller]
         # A small difference is not worth a move.
         if excess < 3 + 0.1 * own.workers:
             return
-        room = MOST_MOVED
+        room = MAX_MOVES
         for load in others:
-            lacks = each * weights[load.node] - load.workers
+            lacks = each * weights[load.controller] - load.workers
             count = min(room, int(lacks), int(excess))
             if count > 0:
-                self._moves[load.node] = count
+                self._moves[load.controller] = count
                 room -= count
                 excess -= count
 
-    def elsewhere(self, worker: str) -> str | None:
+    def redirect_target(self, worker: str) -> str | None:
         """The sibling that this worker should report to instead, if any."""
         if not self._moves:
             return None
         now = self._clock.now()
-        sent = self._sent.get(worker)
+        sent = self._redirected_at.get(worker)
         if sent is not None and now - sent < timedelta(minutes=2):
             return None
         node = next(iter(self._moves))
         self._moves[node] -= 1
         if not self._moves[node]:
             del self._moves[node]
-        self._sent[worker] = now
-        self._here.pop(worker, None)
+        self._redirected_at[worker] = now
+        self._last_heartbeats.pop(worker, None)
         return node
 
 
-class Solitude:
+class IsolationDetector:
     """Tells a node that has lost the store and all siblings whether the workers should look elsewhere.
 
     It may renew their leases by itself, but it has no orders for them. If only this node is cut off, every
@@ -102,21 +104,21 @@
         self._clock = clock
         self._zone = zone
         self._lease = lease
-        self._alone_since = alone_since
-        self._foreign: timedelta | None = None
-        self._sent: dict[str, timedelta] = {}
+        self._isolated_since = alone_since
+        self._other_zone_heard_at: timedelta | None = None
+        self._redirected_at: dict[str, timedelta] = {}
 
-    def send_on(self, worker: str, zone: str) -> bool:
-        since, now = self._alone_since(), self._clock.now()
+    def should_redirect(self, worker: str, zone: str) -> bool:
+        since, now = self._isolated_since(), self._clock.now()
         if since is None:
-            self._sent.clear()
+            self._redirected_at.clear()
             return False
         if zone != self._zone:
-            self._foreign = now
-        if self._foreign is None or self._foreign < since:
+            self._other_zone_heard_at = now
+        if self._other_zone_heard_at is None or self._other_zone_heard_at < since:
             return False
-        sent = self._sent.get(worker)
+        sent = self._redirected_at.get(worker)
         if sent is not None and now - sent < self._lease * 2:
             return False
-        self._sent[worker] = now
+        self._redirected_at[worker] = now
         return True
--- a/spindleglade/workers/cancellation_bound.py
+++ b/spindleglade/workers/cancellation_bound.py
@@ -6,7 +6,7 @@
 from spindleglade.clock import Clock
 
 
-class CancellationBound:
+class CancellationFreshness:
     """The one rule for whoever renews leases or starts tasks.
 
     A cancellation that this node does not know of was confirmed to its user after `proven`, the time at
@@ -16,10 +16,10 @@
 
     def __init__(self, clock: Clock, lasts: timedelta, proven: Callable[[], timedelta | None]) -> None:
         self._clock = clock
-        self._lasts = lasts
-        self._proven = proven
+        self._validity = lasts
+        self._known_as_of = proven
 
     @property
-    def holds(self) -> bool:
-        proven = self._proven()
-        return proven is not None and self._clock.now() - proven <= self._lasts
+    def permits_renewals(self) -> bool:
+        proven = self._known_as_of()
+        return proven is not None and self._clock.now() - proven <= self._validity
--- a/spindleglade/workers/cluster.py
+++ b/spindleglade/workers/cluster.py
@@ -14,14 +14,14 @@
 from datetime import timedelta
 
 from spindleglade.workers.attempts import Machine
-from spindleglade.workers.intake import Intake
-from spindleglade.workers.placing import Placing
-from spindleglade.workers.recording import Recording
+from spindleglade.workers.intake import HeartbeatReconciliation
+from spindleglade.workers.placing import PlanningBridge
+from spindleglade.workers.recording import Persistence
 
 log = logging.getLogger("spindleglade.workers")
 
 
-class Cluster(Intake, Recording, Placing):
+class ClusterState(HeartbeatReconciliation, Persistence, PlanningBridge):
     """All parts of the cluster state, and what the cloud and the siblings say of machines."""
 
     def has_begun(self, job_id: str) -> bool:
@@ -30,19 +30,19 @@
             job = self.jobs.get(job_id)
             return job is not None and bool(job.placed or job.done)
 
-    def machine_gone(self, name: str, reason: str) -> None:
+    def on_machine_terminated(self, name: str, reason: str) -> None:
         """The cloud has said that the machine and all on it are gone."""
         with self.lock:
-            self.gone.add(name)
+            self.terminated.add(name)
             machine = self.machines.get(name)
             if machine is None:
                 return
             log.info("machine gone machine=%s tasks=%d reason=%s", name, len(machine.placed), reason)
             for assignment in list(machine.placed.values()):
-                self._over(assignment, "its machine is gone")
+                self._end_attempt(assignment, "its machine is gone")
             del self.machines[name]
 
-    def found(self, listed: list[tuple[str, str, str]]) -> None:
+    def observe_listed_machines(self, listed: list[tuple[str, str, str]]) -> None:
         """Names, addresses and zones: where the cloud says that machines are. Those that have not reported to
         this leader yet can be asked then; those that died with the leader before used to be waited for until
         a whole lease was over."""
@@ -51,16 +51,18 @@
                 machine = self.machines.get(name)
                 if machine is not None and not machine.address:
                     machine.address, machine.zone = address, zone
-                    self.due[name] = None
+                    self.dispatch_queue[name] = None
 
-    def vouch(self, names: list[str], now: timedelta) -> None:
+    def on_leases_renewed_by_peer(self, names: list[str], now: timedelta) -> None:
         """A sibling renews these machines' leases: they live, though nothing is heard of them here."""
         with self.lock:
             for name in names:
                 machine = self.machines.get(name)
                 if machine is not None:
-                    machine.vouched = now
+                    machine.renewed_by_peer_at = now
 
-    def silent(self, machine: Machine, now: timedelta, since: timedelta) -> bool:
-        latest = max(machine.heard or self.began, machine.vouched or self.began)
+    def is_silent(self, machine: Machine, now: timedelta, since: timedelta) -> bool:
+        latest = max(
+            machine.last_heartbeat_at or self.started_at, machine.renewed_by_peer_at or self.started_at
+        )
         return now - latest > since
--- a/spindleglade/workers/dispatch.py
+++ b/spindleglade/workers/dispatch.py
@@ -7,77 +7,79 @@
 import msgspec
 
 from spindleglade.clock import Clock
-from spindleglade.tasks import spawn
-from spindleglade.web import Crowded, NoAnswer, NotSent, Requester, Response
-from spindleglade.workers.attempts import Deposed, Machine
-from spindleglade.workers.cancellation_bound import CancellationBound
-from spindleglade.workers.cluster import Cluster
-from spindleglade.workers.messages import Order, Orders, Report, decode_report
+from spindleglade.tasks import run_in_background
+from spindleglade.web import ClientResponse, ConnectionLimitError, NoResponseError, NotSentError, Requester
+from spindleglade.workers.attempts import Machine, StaleTokenError
+from spindleglade.workers.cancellation_bound import CancellationFreshness
+from spindleglade.workers.cluster import ClusterState
+from spindleglade.workers.messages import Command, CommandBatch, Heartbeat, decode_heartbeat
 
 log = logging.getLogger("spindleglade.workers")
 
 
-class Dispatcher:
+class CommandDispatcher:
     def __init__(
         self,
-        cluster: Cluster,
+        cluster: ClusterState,
         http: Requester,
         clock: Clock,
         timeout: timedelta,
         deposed: Callable[[str], None],
         changed: Callable[[], None],
-        bound: CancellationBound,
+        bound: CancellationFreshness,
     ) -> None:
         self._cluster = cluster
         self._http = http
         self._clock = clock
         self._timeout = timeout
-        self._deposed = deposed
-        self._changed = changed
-        self._bound = bound
+        self._on_deposed = deposed
+        self._on_changed = changed
+        self._cancellation_freshness = bound
         self._stopped = False
 
     def stop(self) -> None:
         self._stopped = True
 
-    def send(self) -> None:
+    def dispatch(self) -> None:
         if self._stopped:
             return
-        for machine, session, orders in self._cluster.to_send(self._clock.now(), self._bound.holds):
-            spawn(self._send(machine, session, orders), "send")
+        for machine, incarnation, orders in self._cluster.take_direct_commands(
+            self._clock.now(), self._cancellation_freshness.permits_renewals
+        ):
+            run_in_background(self._send_commands(machine, incarnation, orders), "send")
 
-    def greet(self, address: str, session: int) -> None:
+    def introduce_leader(self, address: str, incarnation: int) -> None:
         """Tells a machine of the new token and hears what runs there. Nothing may be ordered before, and its
         next report may be seconds away."""
         if not self._stopped:
-            spawn(self._greet(address, session), "greeting")
+            run_in_background(self._introduce_leader(address, incarnation), "greeting")
 
-    async def _greet(self, address: str, session: int) -> None:
+    async def _introduce_leader(self, address: str, incarnation: int) -> None:
         for _ in range(2):
-            body = msgspec.json.encode(Orders(self._cluster.token, session, []))
+            body = msgspec.json.encode(CommandBatch(self._cluster.token, incarnation, []))
             try:
                 answer = await self._http.request("POST", address, "/orders", body, self._timeout)
-            except NoAnswer as error:
+            except NoResponseError as error:
                 log.info("greeting unanswered address=%s reason=%s", address, error)
                 return
-            report = self._take(answer, address)
+            report = self._apply_response(answer, address)
             # A machine that has lost a lease since is in a later session, and says so.
-            if report is None or answer.status == 200 or report.session == session:
+            if report is None or answer.status == 200 or report.incarnation == incarnation:
                 return
-            session = report.session
+            incarnation = report.incarnation
 
-    async def _send(self, machine: Machine, session: int, orders: list[Order]) -> None:
-        body = msgspec.json.encode(Orders(self._cluster.token, session, orders))
+    async def _send_commands(self, machine: Machine, incarnation: int, orders: list[Command]) -> None:
+        body = msgspec.json.encode(CommandBatch(self._cluster.token, incarnation, orders))
         unsure, reached, answer = False, True, None
         try:
             answer = await self._http.request("POST", machine.address, "/orders", body, self._timeout)
-        except Crowded as error:
+        except ConnectionLimitError as error:
             # Left to the answer of its next report, or sent again; the machine may well hear.
             log.info("orders left to the next report machine=%s reason=%s", machine.name, error)
-        except NotSent as error:
+        except NotSentError as error:
             reached = False
             log.info("orders not sent machine=%s reason=%s", machine.name, error)
-        except NoAnswer as error:
+        except NoResponseError as error:
             # The order may be carried out minutes from now.
             unsure = True
             log.info("orders unanswered machine=%s orders=%d reason=%s", machine.name, len(orders), error)
@@ -87,29 +89,29 @@
             log.exception("sending orders broke machine=%s", machine.name)
         if answer is not None and answer.status not in (200, 400, 409):
             unsure = True
-        self._cluster.sent(machine, orders, unsure, self._clock.now(), reached)
+        self._cluster.on_commands_sent(machine, orders, unsure, self._clock.now(), reached)
         if answer is not None:
-            self._cluster.hears(machine, self._clock.now())
-            self._take(answer, machine.address)
+            self._cluster.on_machine_reached(machine, self._clock.now())
+            self._apply_response(answer, machine.address)
 
-    async def show(self, machine: Machine) -> None:
+    async def request_status(self, machine: Machine) -> None:
         """Asks a machine how it is, and takes in its report. Raises NoAnswer."""
         answer = await self._http.request("GET", machine.address, "/show", None, self._timeout)
-        self._cluster.hears(machine, self._clock.now())
-        self._take(answer, machine.address)
+        self._cluster.on_machine_reached(machine, self._clock.now())
+        self._apply_response(answer, machine.address)
 
-    def _take(self, answer: Response, address: str) -> Report | None:
+    def _apply_response(self, answer: ClientResponse, address: str) -> Heartbeat | None:
         """The report that an answer carries."""
         if answer.status not in (200, 409) or self._stopped:
             return None
         try:
-            report = decode_report(answer.body)
-            self._cluster.report(report, self._clock.now(), asked=False)
+            report = decode_heartbeat(answer.body)
+            self._cluster.on_heartbeat(report, self._clock.now(), asked=False)
         except msgspec.DecodeError as error:
             log.warning("answer not understood address=%s reason=%s", address, error)
             return None
-        except Deposed as error:
-            self._deposed(str(error))
+        except StaleTokenError as error:
+            self._on_deposed(str(error))
             return None
-        self._changed()
+        self._on_changed()
         return report
--- a/spindleglade/workers/messages.py
+++ b/spindleglade/workers/messages.py
@@ -7,55 +7,55 @@
 from spindleglade.decoding import decode
 
 
-class TaskReport(msgspec.Struct, frozen=True):
+class TaskStatus(msgspec.Struct, frozen=True):
     task: str = msgspec.field(name="thread")
     attempt: int = msgspec.field(name="try")
-    stage: str
+    state: str = msgspec.field(name="stage")
     cause: str | None = None
     saved: bool | None = None
 
     @property
-    def on(self) -> bool:
-        return self.stage != "exited"
+    def is_on_machine(self) -> bool:
+        return self.state != "exited"
 
 
-class Report(msgspec.Struct, frozen=True):
+class Heartbeat(msgspec.Struct, frozen=True):
     machine: str = msgspec.field(name="spindle")
     address: str = msgspec.field(name="addr")
     type: str = msgspec.field(name="frame")
     zone: str = msgspec.field(name="glade")
     spot: bool = msgspec.field(name="windfall")
-    session: int = msgspec.field(name="spin")
-    tally: int
+    incarnation: int = msgspec.field(name="spin")
+    sequence: int = msgspec.field(name="tally")
     token: int = msgspec.field(name="baton")
-    tasks: list[TaskReport] = msgspec.field(name="threads", default_factory=list)
+    tasks: list[TaskStatus] = msgspec.field(name="threads", default_factory=list)
     warning_s: float | None = None
 
 
-class Order(msgspec.Struct, frozen=True, omit_defaults=True):
-    verb: Literal["start", "stop", "clear"]
+class Command(msgspec.Struct, frozen=True, omit_defaults=True):
+    operation: Literal["start", "stop", "clear"] = msgspec.field(name="verb")
     task: str = msgspec.field(name="thread")
     attempt: int = msgspec.field(name="try")
-    slack_s: float | None = None
+    grace_period_s: float | None = msgspec.field(name="slack_s", default=None)
 
 
-class ReportAnswer(msgspec.Struct, frozen=True):
+class HeartbeatResponse(msgspec.Struct, frozen=True):
     token: int = msgspec.field(name="baton")
-    orders: list[Order] = []
+    commands: list[Command] = msgspec.field(name="orders", default_factory=list)
 
 
-class Orders(msgspec.Struct, frozen=True):
+class CommandBatch(msgspec.Struct, frozen=True):
     token: int = msgspec.field(name="baton")
-    session: int = msgspec.field(name="spin")
-    orders: list[Order]
+    incarnation: int = msgspec.field(name="spin")
+    commands: list[Command] = msgspec.field(name="orders")
 
 
-_reports = msgspec.json.Decoder(Report)
+_heartbeats = msgspec.json.Decoder(Heartbeat)
 
 
-def decode_report(body: bytes) -> Report:
+def decode_heartbeat(body: bytes) -> Heartbeat:
     """Raises msgspec.DecodeError on anything malformed."""
-    return decode(_reports.decode, body)
+    return decode(_heartbeats.decode, body)
 
 
 def task_name(job: str, index: int) -> str:
--- a/spindleglade/workers/orders.py
+++ b/spindleglade/workers/orders.py
@@ -3,145 +3,163 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from spindleglade.workers.attempts import MOST_ORDERS, Assignment, Machine
+from spindleglade.workers.attempts import MAX_COMMANDS_PER_MESSAGE, Attempt, Machine
 from spindleglade.workers.cluster_base import ClusterBase
-from spindleglade.workers.messages import Order, split_task
+from spindleglade.workers.messages import Command, split_task
 
 
-class Orders(ClusterBase):
-    def _orders(
-        self, machine: Machine, now: timedelta, tally: int | None, starts: bool = True
-    ) -> list[Order]:
+class CommandSelection(ClusterBase):
+    def _commands_for(
+        self, machine: Machine, now: timedelta, sequence: int | None, starts: bool = True
+    ) -> list[Command]:
         """What to tell the machine now. `tally` is that of the report being answered, None for a message of
         our own; starts already under way one way are not sent another."""
-        orders = self._pending_orders(machine)
+        orders = self._pending_commands(machine)
         if not starts:
             return orders
         for assignment in machine.placed.values():
-            if len(orders) >= MOST_ORDERS:
+            if len(orders) >= MAX_COMMANDS_PER_MESSAGE:
                 break
             if not self._may_start(machine, assignment):
                 continue
-            orders.append(Order("start", assignment.task, assignment.attempt))
-            if tally is None:
-                assignment.sending += 1
-                assignment.direct = True
+            orders.append(Command("start", assignment.task, assignment.attempt))
+            if sequence is None:
+                assignment.starts_in_flight += 1
+                assignment.started_directly = True
             else:
-                assignment.answered = tally
+                assignment.start_sent_with_sequence = sequence
         return orders
 
-    def _pending_orders(self, machine: Machine) -> list[Order]:
+    def _pending_commands(self, machine: Machine) -> list[Command]:
         """Clears and stops; what does not fit is told the next time."""
-        orders: list[Order] = []
-        if machine.proven:
+        orders: list[Command] = []
+        if machine.acknowledged_token:
             for (task, attempt), exited in machine.exited.items():
                 # After `clear` a start that lands late would start the task again.
-                if exited.recorded and not exited.kept and (task, attempt) not in machine.unsure:
-                    orders.append(Order("clear", task, attempt))
-            for (task, attempt), stage in machine.strays.items():
-                if stage != "saving":
-                    orders.append(Order("stop", task, attempt, 0.0))
+                if (
+                    exited.is_recorded
+                    and not exited.never_forget
+                    and (task, attempt) not in machine.unacknowledged_starts
+                ):
+                    orders.append(Command("clear", task, attempt))
+            for (task, attempt), state in machine.unexpected_attempts.items():
+                if state != "saving":
+                    orders.append(Command("stop", task, attempt, 0.0))
         for assignment in machine.placed.values():
             if (
-                assignment.session == machine.session
-                and assignment.stop is not None
-                and assignment.seen
-                and not (assignment.stage == "saving" and assignment.slack > 0)
+                assignment.incarnation == machine.incarnation
+                and assignment.stop_reason is not None
+                and assignment.is_confirmed
+                and not (assignment.state == "saving" and assignment.grace_period_s > 0)
             ):
-                orders.append(Order("stop", assignment.task, assignment.attempt, assignment.slack))
-        return orders[:MOST_ORDERS]
+                orders.append(Command("stop", assignment.task, assignment.attempt, assignment.grace_period_s))
+        return orders[:MAX_COMMANDS_PER_MESSAGE]
 
     @staticmethod
-    def _may_start(machine: Machine, assignment: Assignment) -> bool:
+    def _may_start(machine: Machine, assignment: Attempt) -> bool:
         return (
-            machine.proven
-            and not machine.releasing
-            and assignment.session == machine.session
-            and assignment.stop is None
-            and not assignment.seen
-            and not assignment.sending
-            and assignment.answered is None
-            and assignment.recorded
-            and assignment.job.open
+            machine.acknowledged_token
+            and not machine.terminating
+            and assignment.incarnation == machine.incarnation
+            and assignment.stop_reason is None
+            and not assignment.is_confirmed
+            and not assignment.starts_in_flight
+            and assignment.start_sent_with_sequence is None
+            and assignment.is_recorded
+            and assignment.job.is_open
             and assignment.job.released
         )
 
-    def to_send(self, now: timedelta, starts: bool = True) -> list[tuple[Machine, int, list[Order]]]:
+    def take_direct_commands(
+        self, now: timedelta, starts: bool = True
+    ) -> list[tuple[Machine, int, list[Command]]]:
         """Orders to send straight to machines: those that bear no waiting for the next report. Without
         `starts` no task is started: its job may be cancelled by now, and this leader not know. Stops do no
         harm at any time."""
         found = []
         with self.lock:
-            due, self.due = self.due, {}
+            due, self.dispatch_queue = self.dispatch_queue, {}
             for name in due:
                 machine = self.machines.get(name)
                 if (
                     machine is None
-                    or machine.sending
-                    or machine.releasing
-                    or machine.not_receiving is not None
+                    or machine.command_in_flight
+                    or machine.terminating
+                    or machine.unreachable_since is not None
                     or not machine.address
-                    or not machine.proven
-                    or not any(self._pressing(machine, assignment) for assignment in machine.placed.values())
+                    or not machine.acknowledged_token
+                    or not any(
+                        self._needs_direct_command(machine, assignment)
+                        for assignment in machine.placed.values()
+                    )
                 ):
                     continue
-                orders = self._orders(machine, now, None, starts)
+                orders = self._commands_for(machine, now, None, starts)
                 if not starts:
                     # What is withheld is looked at again once this leader knows enough.
-                    self.due[name] = None
+                    self.dispatch_queue[name] = None
                 if orders:
-                    machine.sending, machine.steady = True, None
-                    found.append((machine, machine.session, orders))
+                    machine.command_in_flight, machine.reconciled_tasks = True, None
+                    found.append((machine, machine.incarnation, orders))
         return found
 
-    def _pressing(self, machine: Machine, assignment: Assignment) -> bool:
-        if assignment.session != machine.session:
+    def _needs_direct_command(self, machine: Machine, assignment: Attempt) -> bool:
+        if assignment.incarnation != machine.incarnation:
             return False
-        if assignment.stop is not None:
-            return assignment.seen and assignment.stage in ("running", "pulling")
+        if assignment.stop_reason is not None:
+            return assignment.is_confirmed and assignment.state in ("running", "pulling")
         key = (assignment.task, assignment.attempt)
-        return key not in machine.unsure and self._may_start(machine, assignment)
+        return key not in machine.unacknowledged_starts and self._may_start(machine, assignment)
 
-    def sent(
-        self, machine: Machine, orders: Iterable[Order], unsure: bool, now: timedelta, reached: bool = True
+    def on_commands_sent(
+        self, machine: Machine, orders: Iterable[Command], unsure: bool, now: timedelta, reached: bool = True
     ) -> None:
         """What became of orders sent straight to a machine: answered or never sent, or else unsure; `reached`
         is false where not even a connection was made."""
         with self.lock:
-            machine.sending = False
-            self.due[machine.name] = None
+            machine.command_in_flight = False
+            self.dispatch_queue[machine.name] = None
             if unsure or not reached:
-                machine.unreached = now
-                self._not_receiving(machine, now, "does not answer orders")
+                machine.last_command_unanswered_at = now
+                self._mark_unreachable(machine, now, "does not answer orders")
             for order in orders:
-                if order.verb != "start":
+                if order.operation != "start":
                     continue
                 if unsure:
-                    machine.unsure[(order.task, order.attempt)] = now
+                    machine.unacknowledged_starts[(order.task, order.attempt)] = now
                 job_id, index = split_task(order.task)
                 assignment = machine.placed.get((job_id, index))
                 if assignment is not None and assignment.attempt == order.attempt:
-                    assignment.sending = 0
+                    assignment.starts_in_flight = 0
 
-    def hears(self, machine: Machine, now: timedelta) -> None:
+    def on_machine_reached(self, machine: Machine, now: timedelta) -> None:
         """A message has reached the machine: it answered one, or did what one said."""
         with self.lock:
-            machine.not_receiving = None
-            machine.reached = now
-            self.due[machine.name] = None
+            machine.unreachable_since = None
+            machine.last_command_answered_at = now
+            self.dispatch_queue[machine.name] = None
 
-    def contacts(self, now: timedelta) -> tuple[list[Machine], list[Machine], list[Machine]]:
+    def reachability(self, now: timedelta) -> tuple[list[Machine], list[Machine], list[Machine]]:
         """The machines heard of late, by what became of the latest message straight to them: unanswered,
         answered, and those that got none of late."""
-        window = self.rules.lease / 2
+        window = self.policy.lease / 2
         unanswered, answered, untried = [], [], []
         with self.lock:
             for machine in self.machines.values():
-                if not machine.address or not self._lately(machine.heard, now):
+                if not machine.address or not self._is_recent(machine.last_heartbeat_at, now):
                     continue
-                failed = machine.unreached is not None and now - machine.unreached <= window
-                worked = machine.reached is not None and now - machine.reached <= window
-                if failed and (machine.reached is None or machine.reached < machine.unreached):
+                failed = (
+                    machine.last_command_unanswered_at is not None
+                    and now - machine.last_command_unanswered_at <= window
+                )
+                worked = (
+                    machine.last_command_answered_at is not None
+                    and now - machine.last_command_answered_at <= window
+                )
+                if failed and (
+                    machine.last_command_answered_at is None
+                    or machine.last_command_answered_at < machine.last_command_unanswered_at
+                ):
                     unanswered.append(machine)
                 else:
                     (answered if worked else untried).append(machine)
--- a/spindleglade/workers/reasons.py
+++ b/spindleglade/workers/reasons.py
@@ -5,36 +5,36 @@
 from enum import StrEnum
 
 
-class Unusable(StrEnum):
+class MachineUnusableReason(StrEnum):
     """Why nothing may be started on a machine."""
 
-    TOKEN_NOT_SHOWN = "token not shown"
-    LEAVES = "leaves"
-    NOT_RECEIVING = "does not receive"
-    CONDEMNED = "faulty"
-    RELEASING = "being released"
+    TOKEN_NOT_ACKNOWLEDGED = "token not shown"
+    TERMINATION_ANNOUNCED = "leaves"
+    UNREACHABLE = "does not receive"
+    QUARANTINED = "faulty"
+    TERMINATING = "being released"
     TYPE_UNKNOWN = "type unknown"
     SILENT = "silent"
-    NOT_RENEWED = "lease not renewed"
+    LEASE_NOT_RENEWED = "lease not renewed"
     REFUSED_START = "refused a start"
 
 
-class Waiting(StrEnum):
+class PendingReason(StrEnum):
     """Why a job with waiting tasks had no start."""
 
     DEPENDENCIES = "dependencies"
     PAUSED = "paused after failures"
     TEAM_LIMIT = "team at its limit"
-    NO_ROOM = "no room"
+    NO_CAPACITY = "no room"
 
 
 @dataclass(frozen=True)
-class Standstill:
+class SchedulingStall:
     """What waits and why, and what of the machines could be used."""
 
-    waiting: Counter[Waiting]
+    waiting: Counter[PendingReason]
     usable: int
-    unusable: Counter[Unusable]
+    unusable: Counter[MachineUnusableReason]
 
     def __str__(self) -> str:
         return (
--- a/spindleglade/workers/recorder.py
+++ b/spindleglade/workers/recorder.py
@@ -13,44 +13,44 @@
 
 from spindleglade.clock import ZERO, Clock, seconds, sleep
 from spindleglade.leadership.election import LEADER, Term
-from spindleglade.loop import Loop
+from spindleglade.loop import PeriodicTask
 from spindleglade.store.client import (
     Committed,
     Condition,
+    ConditionFailed,
     Delete,
     Entry,
+    NotAppliedError,
+    OutcomeUnknownError,
     Put,
-    Refused,
     StateClient,
-    TooLarge,
-    Unavailable,
-    Unknown,
-    raw,
+    ValueTooLargeError,
+    encode_value,
 )
 from spindleglade.submissions.records import JOBS, JobRecord, job_key
-from spindleglade.workers.attempts import Batch
-from spindleglade.workers.cluster import Cluster
+from spindleglade.workers.attempts import WriteBatch
+from spindleglade.workers.cluster import ClusterState
 
 log = logging.getLogger("spindleglade.workers")
 
 # Of the 64 KiB a transaction may have, what its values may take; the rest is for keys and conditions.
-MOST_BYTES = 40 * 1024
+MAX_TRANSACTION_VALUE_BYTES = 40 * 1024
 # How long what nobody waits for gathers, and how soon a write that failed is tried again.
-GATHER_FOR = seconds(0.1)
-RETRY_AFTER = seconds(0.3)
+LOW_PRIORITY_DELAY = seconds(0.1)
+RETRY_DELAY = seconds(0.3)
 
 
-class Recorder:
+class StateWriter:
     def __init__(
         self,
-        cluster: Cluster,
+        cluster: ClusterState,
         client: StateClient,
         clock: Clock,
         term: Term,
-        marks: dict[str, int],
+        mod_revisions: dict[str, int],
         committed: Callable[[], None],
         deposed: Callable[[str], None],
-        learn: Callable[[str, bytes, int], None] = lambda key, value, mark: None,
+        learn: Callable[[str, bytes, int], None] = lambda key, value, mod_revision: None,
     ) -> None:
         """`learn` is told each record of an end that the store holds, with its key and mark: dependents are
         released by it without waiting for the watch."""
@@ -59,23 +59,23 @@
         self._clock = clock
         self._term = term
         # Marks of the chunks in the store; 0 for one that may be there, its write being unanswered.
-        self._marks = marks
-        self._committed = committed
-        self._deposed = deposed
-        self._learn = learn
+        self._mod_revisions = mod_revisions
+        self._on_committed = committed
+        self._on_deposed = deposed
+        self._observe_record = learn
         self._stopped = False
-        self._loop = Loop(clock, "recorder", self._write_next, self._until_next)
+        self._loop = PeriodicTask(clock, "recorder", self._write_next, self._until_next)
         # How long the loop waits before it looks again; None: until something has changed.
         self._pause: timedelta | None = ZERO
-        self._idle: Deferred[None] | None = None
+        self._wakeup: Deferred[None] | None = None
         # Conditions cost too: four times the changes are allowed, one is the leader key, three a part.
-        self._most = max(1, client.limits.operations - 1)
+        self._max_operations = max(1, client.limits.operations - 1)
         # The limit on values by which the latest batch was collected.
-        self._limit = client.value_bytes
+        self._batch_value_limit = client.value_bytes
         # What was last refused for its size.
-        self._refused: list[tuple[str, bytes]] | None = None
+        self._rejected_contents: list[tuple[str, bytes]] | None = None
         # How many batches of one item are still to come, after a larger one was refused for its size.
-        self._singly = 0
+        self._single_item_batches = 0
 
     def start(self) -> None:
         """Begins to write what has changed."""
@@ -88,20 +88,20 @@
         self.wake()
 
     @property
-    def stalled(self) -> str | None:
+    def stall_reason(self) -> str | None:
         """Why nothing is written, if so."""
-        return self._loop.stalled
+        return self._loop.stall_reason
 
     def wake(self) -> None:
         """Something has changed."""
-        if self._idle is not None:
-            idle, self._idle = self._idle, None
+        if self._wakeup is not None:
+            idle, self._wakeup = self._wakeup, None
             idle.callback(None)
 
     async def _until_next(self) -> None:
         if self._pause is None:
-            self._idle = Deferred()
-            await self._idle
+            self._wakeup = Deferred()
+            await self._wakeup
         elif self._pause:
             await sleep(self._clock, self._pause)
 
@@ -114,166 +114,172 @@
         except Exception:
             # Whatever breaks, all of it is written once more: what the store holds of it by now, and by which
             # marks, its next answer shows.
-            self._cluster.put_back(batch)
+            self._cluster.requeue(batch)
             raise
 
-    async def _write_batch(self, batch: Batch) -> None:
+    async def _write_batch(self, batch: WriteBatch) -> None:
         if batch.size == 0:
-            self._forget_over(batch)
+            self._forget_finished_jobs(batch)
             return
-        self._fit(batch)
-        self._singly = max(0, self._singly - 1)
-        if _contents(batch) == self._refused:
-            self._too_large(batch, "refused before")
+        self._limit_batch_size(batch)
+        self._single_item_batches = max(0, self._single_item_batches - 1)
+        if _batch_contents(batch) == self._rejected_contents:
+            self._on_too_large(batch, "refused before")
             return
         try:
-            result = await self._write(batch)
-        except TooLarge as error:
-            self._too_large(batch, str(error))
-        except (Unavailable, Unknown) as error:
-            self._not_written(batch, error)
+            result = await self._send_transaction(batch)
+        except ValueTooLargeError as error:
+            self._on_too_large(batch, str(error))
+        except (NotAppliedError, OutcomeUnknownError) as error:
+            self._on_write_failed(batch, error)
         except Exception:
-            self._set_aside_if_alone(batch)
+            self._isolate_failing_item(batch)
             raise
         else:
             if not self._stopped:
-                await self._written(batch, result)
+                await self._on_write_answered(batch, result)
 
-    def _collect(self) -> Batch:
-        most = 1 if self._singly else self._most
-        self._limit = self._client.value_bytes
-        return self._cluster.collect(most, self._marks, self._client.spare_writes, self._limit)
+    def _collect(self) -> WriteBatch:
+        most = 1 if self._single_item_batches else self._max_operations
+        self._batch_value_limit = self._client.value_bytes
+        return self._cluster.collect_writes(
+            most, self._mod_revisions, self._client.spare_writes, self._batch_value_limit
+        )
 
-    def _forget_over(self, batch: Batch) -> None:
+    def _forget_finished_jobs(self, batch: WriteBatch) -> None:
         """Nothing is to be written now."""
-        for job in batch.over:
-            self._cluster.forget(job)
-        if self._cluster.dirty:
+        for job in batch.finished_jobs:
+            self._cluster.forget_job(job)
+        if self._cluster.pending_writes:
             # Only what nobody waits for: it gathers until there are changes to spare.
-            self._pause = GATHER_FOR
-        elif not batch.over:
+            self._pause = LOW_PRIORITY_DELAY
+        elif not batch.finished_jobs:
             self._pause = None
 
-    def _not_written(self, batch: Batch, error: Exception) -> None:
+    def _on_write_failed(self, batch: WriteBatch, error: Exception) -> None:
         log.info("record delayed size=%d reason=%s", batch.size, error)
-        if isinstance(error, Unknown):
-            for write in batch.chunks:
+        if isinstance(error, OutcomeUnknownError):
+            for write in batch.ranges:
                 # It may be there. Else that of a job aborted meanwhile would be left in the store.
-                self._marks.setdefault(write.key, 0)
-        self._cluster.put_back(batch)
-        self._pause = RETRY_AFTER
+                self._mod_revisions.setdefault(write.key, 0)
+        self._cluster.requeue(batch)
+        self._pause = RETRY_DELAY
 
-    async def _written(self, batch: Batch, result: Committed | Refused) -> None:
+    async def _on_write_answered(self, batch: WriteBatch, result: Committed | ConditionFailed) -> None:
         if isinstance(result, Committed):
-            self._apply(batch, result.turn)
-            self._committed()
+            self._apply_committed(batch, result.revision)
+            self._on_committed()
         elif LEADER in result.failed:
-            self._deposed("a record was refused")
+            self._on_deposed("a record was refused")
             self._loop.stop()
         else:
-            self._cluster.put_back(batch)
-            await self._reread(result)
+            self._cluster.requeue(batch)
+            await self._reread_conflicts(result)
 
-    def _set_aside_if_alone(self, batch: Batch) -> None:
+    def _isolate_failing_item(self, batch: WriteBatch) -> None:
         """Writing broke: each item is tried alone from now on, and one that breaks alone waits until it
         changes, so that the others are written."""
         if batch.size > 1:
-            self._singly = batch.size
+            self._single_item_batches = batch.size
         else:
-            self._cluster.set_aside_alone(batch)
+            self._cluster.suspend_oversized_writes(batch)
 
-    def _fit(self, batch: Batch) -> None:
+    def _limit_batch_size(self, batch: WriteBatch) -> None:
         """Puts back what would make the transaction larger than the service takes: eleven full chunks of a
         large job are twice as much, and the refusal would repeat for ever."""
         size, kept = 0, 0
-        for write in batch.chunks:
+        for write in batch.ranges:
             size += 0 if write.value is None else len(write.value)
-            if kept and size > MOST_BYTES:
+            if kept and size > MAX_TRANSACTION_VALUE_BYTES:
                 break
             kept += 1
-        back = Batch(chunks=batch.chunks[kept:])
-        batch.chunks = batch.chunks[:kept]
-        if size > MOST_BYTES // 2 and batch.done:
+        back = WriteBatch(ranges=batch.ranges[kept:])
+        batch.ranges = batch.ranges[:kept]
+        if size > MAX_TRANSACTION_VALUE_BYTES // 2 and batch.done:
             back.done, batch.done = batch.done, []
-        self._cluster.put_back(back)
+        self._cluster.requeue(back)
 
-    def _too_large(self, batch: Batch, reason: str) -> None:
+    def _on_too_large(self, batch: WriteBatch, reason: str) -> None:
         """The same is never sent again. What the limit now in force makes smaller is collected anew; else
         each item is tried alone, and one that is refused alone waits until it changes."""
-        self._refused = _contents(batch)
+        self._rejected_contents = _batch_contents(batch)
         limit = self._client.value_bytes
-        if limit < self._limit and any(len(value) > limit for _, value in self._refused):
+        if limit < self._batch_value_limit and any(
+            len(value) > limit for _, value in self._rejected_contents
+        ):
             log.info("record too large size=%d limit=%d reason=%s", batch.size, limit, reason)
         elif batch.size > 1:
             log.info("record too large, tried one by one size=%d reason=%s", batch.size, reason)
-            self._singly = batch.size
+            self._single_item_batches = batch.size
         else:
-            keys = ",".join(key for key, _ in self._refused)
+            keys = ",".join(key for key, _ in self._rejected_contents)
             log.error("record refused as too large keys=%s reason=%s", keys, reason)
-            self._cluster.set_aside_alone(batch)
-        self._cluster.put_back(batch)
+            self._cluster.suspend_oversized_writes(batch)
+        self._cluster.requeue(batch)
 
-    async def _write(self, batch: Batch) -> Committed | Refused:
-        when = {LEADER: self._term.mark}
+    async def _send_transaction(self, batch: WriteBatch) -> Committed | ConditionFailed:
+        conditions = {LEADER: self._term.mod_revision}
         writes: list[Put | Delete] = []
-        for write in batch.chunks:
-            stored = self._marks.get(write.key, 0)
-            when[write.key] = stored
-            if write.job_mark is not None:
+        for write in batch.ranges:
+            stored = self._mod_revisions.get(write.key, 0)
+            conditions[write.key] = stored
+            if write.job_mod_revision is not None:
                 # An abort between the placing and its record makes this fail, so nothing of an aborted job
                 # is ever recorded as placed.
-                when[job_key(write.job)] = write.job_mark
-            if write.depends is not None:
-                when[write.depends] = self._marks.get(write.depends, 0)
+                conditions[job_key(write.job)] = write.job_mod_revision
+            if write.required_key is not None:
+                conditions[write.required_key] = self._mod_revisions.get(write.required_key, 0)
             if write.value is not None:
                 writes.append(Put(write.key, write.value))
             elif stored:
                 writes.append(Delete(write.key))
         finished = self._clock.utc()
         batch.done = [
-            (job, mark, msgspec.structs.replace(record, finished=finished))
-            for job, mark, record in batch.done
+            (job, mod_revision, msgspec.structs.replace(record, finished=finished))
+            for job, mod_revision, record in batch.done
         ]
-        for job, mark, record in batch.done:
-            when[job_key(job)] = mark
-            writes.append(Put(job_key(job), raw(record)))
+        for job, mod_revision, record in batch.done:
+            conditions[job_key(job)] = mod_revision
+            writes.append(Put(job_key(job), encode_value(record)))
         for _, key in batch.removed:
-            when[key] = stored = self._marks.get(key, 0)
+            conditions[key] = stored = self._mod_revisions.get(key, 0)
             if stored:
                 writes.append(Delete(key))
-        return await self._client.txn([Condition(key, mark) for key, mark in when.items()], writes)
+        return await self._client.compare_and_swap(
+            [Condition(key, mod_revision) for key, mod_revision in conditions.items()], writes
+        )
 
-    def _apply(self, batch: Batch, turn: int) -> None:
-        for write in batch.chunks:
+    def _apply_committed(self, batch: WriteBatch, revision: int) -> None:
+        for write in batch.ranges:
             if write.value is None:
-                self._marks.pop(write.key, None)
+                self._mod_revisions.pop(write.key, None)
             else:
-                self._marks[write.key] = turn
-            self._cluster.committed(write.job, write.first, write.version)
+                self._mod_revisions[write.key] = revision
+            self._cluster.on_range_committed(write.job, write.first_task, write.version)
         for job, _, record in batch.done:
-            self._cluster.finished(job, turn)
-            self._learn(job_key(job), bytes(raw(record)), turn)
+            self._cluster.on_job_recorded_done(job, revision)
+            self._observe_record(job_key(job), bytes(encode_value(record)), revision)
         for _, key in batch.removed:
-            self._marks.pop(key, None)
-        for job in batch.over:
-            self._cluster.forget(job)
+            self._mod_revisions.pop(key, None)
+        for job in batch.finished_jobs:
+            self._cluster.forget_job(job)
 
-    async def _reread(self, result: Refused) -> None:
+    async def _reread_conflicts(self, result: ConditionFailed) -> None:
         """The marks we hold are not the store's: a write of ours was applied though its answer was lost, or
         a user has aborted a job."""
         for key in result.failed:
             try:
                 entry = await self._client.get(key)
                 if key.startswith(JOBS):
-                    await self._take_job(key, entry)
+                    await self._observe_job(key, entry)
                 elif entry is None:
-                    self._marks.pop(key, None)
+                    self._mod_revisions.pop(key, None)
                 else:
-                    self._marks[key] = entry.mark
-            except (Unavailable, Unknown) as error:
+                    self._mod_revisions[key] = entry.mod_revision
+            except (NotAppliedError, OutcomeUnknownError) as error:
                 log.info("mark not read key=%s reason=%s", key, error)
 
-    async def _take_job(self, key: str, entry: Entry | None) -> None:
+    async def _observe_job(self, key: str, entry: Entry | None) -> None:
         """What a user has made of a job. The replica tells it too, but its watch may be held up for seconds,
         and until then all that is in one batch with a start of the job would be refused again and again."""
         try:
@@ -282,14 +288,14 @@
             log.error("job record not understood key=%s reason=%s", key, error)
             await sleep(self._clock, timedelta(seconds=0.05))
             return
-        self._cluster.take_job(record, entry.mark)
-        self._learn(key, bytes(entry.value), entry.mark)
+        self._cluster.observe_job(record, entry.mod_revision)
+        self._observe_record(key, bytes(entry.value), entry.mod_revision)
         # There may be tasks to stop.
-        self._committed()
+        self._on_committed()
 
 
-def _contents(batch: Batch) -> list[tuple[str, bytes]]:
+def _batch_contents(batch: WriteBatch) -> list[tuple[str, bytes]]:
     """What a batch would write, by key; nothing for a key that it removes."""
-    values = [(write.key, b"" if write.value is None else bytes(write.value)) for write in batch.chunks]
-    ends = [(job_key(job), bytes(raw(record))) for job, _, record in batch.done]
+    values = [(write.key, b"" if write.value is None else bytes(write.value)) for write in batch.ranges]
+    ends = [(job_key(job), bytes(encode_value(record))) for job, _, record in batch.done]
     return values + ends + [(key, b"") for _, key in batch.removed]
--- a/spindleglade/workers/relay.py
+++ b/spindleglade/workers/relay.py
@@ -10,48 +10,48 @@
 from twisted.internet.defer import Deferred
 
 from spindleglade.clock import Clock
-from spindleglade.tasks import spawn
+from spindleglade.tasks import run_in_background
 
 # A message between siblings is well below its limit with this, whatever the last report adds.
-MOST_BYTES = 256 * 1024
+MAX_MESSAGE_BYTES = 256 * 1024
 
 # Takes reports to the leader and brings back its answers, in order; None if it could not be reached.
-Carry = Callable[[list[bytes]], Awaitable[list[bytes | None] | None]]
+SendToLeader = Callable[[list[bytes]], Awaitable[list[bytes | None] | None]]
 
 
-class Relays:
-    def __init__(self, clock: Clock, window: timedelta, carry: Carry) -> None:
+class HeartbeatRelay:
+    def __init__(self, clock: Clock, window: timedelta, carry: SendToLeader) -> None:
         self._clock = clock
         self._window = window
-        self._carry = carry
-        self._gathered: list[tuple[bytes, Deferred[bytes | None]]] = []
-        self._bytes = 0
+        self._send_to_leader = carry
+        self._pending: list[tuple[bytes, Deferred[bytes | None]]] = []
+        self._pending_bytes = 0
         self._timer: object | None = None
 
     async def send(self, report: bytes) -> bytes | None:
         """The leader's answer; nothing if there is none to be reached."""
         waiter: Deferred[bytes | None] = Deferred()
-        self._gathered.append((report, waiter))
-        self._bytes += len(report)
-        if self._bytes >= MOST_BYTES:
-            self._go()
+        self._pending.append((report, waiter))
+        self._pending_bytes += len(report)
+        if self._pending_bytes >= MAX_MESSAGE_BYTES:
+            self._flush()
         elif self._timer is None:
-            self._timer = self._clock.later(self._window, self._due)
+            self._timer = self._clock.later(self._window, self._on_window_elapsed)
         return await waiter
 
-    def _due(self) -> None:
+    def _on_window_elapsed(self) -> None:
         self._timer = None
-        self._go()
+        self._flush()
 
-    def _go(self) -> None:
-        gathered, self._gathered, self._bytes = self._gathered, [], 0
+    def _flush(self) -> None:
+        gathered, self._pending, self._pending_bytes = self._pending, [], 0
         if gathered:
-            spawn(self._take(gathered), "relay")
+            run_in_background(self._relay(gathered), "relay")
 
-    async def _take(self, gathered: list[tuple[bytes, Deferred[bytes | None]]]) -> None:
+    async def _relay(self, gathered: list[tuple[bytes, Deferred[bytes | None]]]) -> None:
         answers = None
         try:
-            answers = await self._carry([report for report, _ in gathered])
+            answers = await self._send_to_leader([report for report, _ in gathered])
         finally:
             if answers is None or len(answers) != len(gathered):
                 answers = [None] * len(gathered)
--- a/spindleglade/workers/test_cluster.py
+++ b/spindleglade/workers/test_cluster.py
@@ -7,18 +7,18 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from spindleglade.backfill.distributions import Bins, Predictor
-from spindleglade.backfill.snapshot import Plan, Start, Stop
+from spindleglade.backfill.snapshot import Placement, Plan, Preemption
 from spindleglade.clock import seconds
 from spindleglade.settings import Team
 from spindleglade.submissions.messages import Submission
-from spindleglade.submissions.records import Chunk, JobRecord, Placement
-from spindleglade.workers.attempts import PLACED, WAITING, Deposed, MachineKind, Rules
-from spindleglade.workers.cluster import Cluster
-from spindleglade.workers.messages import Order, Report, TaskReport, split_task
+from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord
+from spindleglade.workers.attempts import PLACED, WAITING, MachineTypeCapacity, StaleTokenError, WorkerPolicy
+from spindleglade.workers.cluster import ClusterState
+from spindleglade.workers.messages import Command, Heartbeat, TaskStatus, split_task
 
 TOKEN = 7
-RULES = Rules(seconds(10), seconds(1), 2, seconds(5), seconds(60))
-START = [Order("start", "job-1/0", 1)]
+RULES = WorkerPolicy(seconds(10), seconds(1), 2, seconds(5), seconds(60))
+START = [Command("start", "job-1/0", 1)]
 
 
 def spec(id="job-1", tasks=2, **fields):
@@ -46,11 +46,11 @@
 
 def make_cluster():
     bins = Bins(seconds(1), 1.8)
-    return Cluster(
+    return ClusterState(
         TOKEN,
         RULES,
         {"t": Team("t", 4.0, 8.0)},
-        {"m": MachineKind(8.0, 0.0, 32.0, 50.0, 1.0)},
+        {"m": MachineTypeCapacity(8.0, 0.0, 32.0, 50.0, 1.0)},
         Predictor(bins, 3, 100),
         timedelta(0),
     )
@@ -62,43 +62,43 @@
     def __init__(self):
         self.cluster = make_cluster()
         self.now = seconds(100)
-        self.tally = 0
-        self.cluster.take_job(JobRecord("open", spec(), 1), 1)
+        self.sequence = 0
+        self.cluster.observe_job(JobRecord("open", spec(), 1), 1)
 
-    def report(self, *tasks, token=TOKEN, session=1, asked=True, machine="n-1", tally=None):
-        self.tally += 1
-        report = Report(
+    def report(self, *tasks, token=TOKEN, incarnation=1, asked=True, machine="n-1", sequence=None):
+        self.sequence += 1
+        report = Heartbeat(
             machine,
             "x:1",
             "m",
             "z",
             True,
-            session,
-            tally or self.tally,
+            incarnation,
+            sequence or self.sequence,
             token,
-            [TaskReport(*t) for t in tasks],
+            [TaskStatus(*t) for t in tasks],
         )
-        return self.cluster.report(report, self.now, asked)
+        return self.cluster.on_heartbeat(report, self.now, asked)
 
     def place(self, index=0, machine="n-1"):
-        assert self.cluster.apply(Plan(starts=[Start("job-1", index, machine)]), self.now) == 1
+        assert self.cluster.apply_plan(Plan(placements=[Placement("job-1", index, machine)]), self.now) == 1
 
     def record(self):
         """Writes all that is dirty, as the recorder would."""
-        for write in self.cluster.collect(99, {}).chunks:
-            self.cluster.committed(write.job, write.first, write.version)
+        for write in self.cluster.collect_writes(99, {}).ranges:
+            self.cluster.on_range_committed(write.job, write.first_task, write.version)
 
     def state(self, index=0):
-        return self.cluster.jobs["job-1"].state[index]
+        return self.cluster.jobs["job-1"].task_states[index]
 
     def direct(self):
-        return [order for _, _, orders in self.cluster.to_send(self.now) for order in orders]
+        return [order for _, _, orders in self.cluster.take_direct_commands(self.now) for order in orders]
 
     def sent(self, orders, unsure):
-        self.cluster.sent(self.cluster.machines["n-1"], orders, unsure, self.now)
+        self.cluster.on_commands_sent(self.cluster.machines["n-1"], orders, unsure, self.now)
 
     def abort(self):
-        self.cluster.take_job(JobRecord("aborted", spec(), 1), 50)
+        self.cluster.observe_job(JobRecord("aborted", spec(), 1), 50)
 
     def running(self):
         """A harness with task 0 placed, recorded, started and seen running."""
@@ -112,23 +112,25 @@
 
 def test_a_machine_that_reports_before_its_type_is_known_is_used_once_it_is():
     harness = Harness()
-    kinds, harness.cluster.kinds = harness.cluster.kinds, {}
+    kinds, harness.cluster.machine_types = harness.cluster.machine_types, {}
     harness.report()
     (view,) = harness.cluster.snapshot(harness.now).machines
-    assert not view.open and view.cpus == 0
+    assert not view.is_usable and view.cpus == 0
     harness.report()
-    harness.cluster.learn_kinds(kinds)
+    harness.cluster.set_machine_types(kinds)
     (view,) = harness.cluster.snapshot(harness.now).machines
-    assert view.open and view.free_cpus == 8.0
+    assert view.is_usable and view.free_cpus == 8.0
 
 
 def test_what_an_overdue_job_gets_is_owed_to_it_and_nothing_after_it():
     harness = Harness()
     harness.report()
-    harness.cluster.jobs["job-1"].hungry = harness.now - RULES.patience
+    harness.cluster.jobs["job-1"].waiting_since = harness.now - RULES.overdue_after
     harness.place()
     harness.place(1)
-    tasks = {task.index: task.owed for task in harness.cluster.snapshot(harness.now).machines[0].tasks}
+    tasks = {
+        task.index: task.started_overdue for task in harness.cluster.snapshot(harness.now).machines[0].tasks
+    }
     assert tasks == {0: True, 1: False}
 
 
@@ -147,12 +149,14 @@
     for _ in range(2):
         assert harness.report(("job-1/0", 1, "exited", "done")) == []
     harness.record()
-    assert harness.report(("job-1/0", 1, "exited", "done")) == [Order("clear", "job-1/0", 1)]
+    assert harness.report(("job-1/0", 1, "exited", "done")) == [Command("clear", "job-1/0", 1)]
 
 
 def test_nothing_is_ordered_before_the_worker_knows_this_token():
     harness = Harness()
-    harness.cluster.load_chunk("job-1", 0, Chunk(placed={0: Placement(1, "n-1", 1)}), harness.now)
+    harness.cluster.load_range(
+        "job-1", 0, TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)}), harness.now
+    )
     assert harness.report(token=TOKEN - 1) == []
     assert harness.direct() == []
     # Under this token no former leader's start can land any more: it may be sent (again).
@@ -173,7 +177,7 @@
     harness.place()
     harness.record()
     orders = harness.direct()
-    harness.cluster.jobs["job-1"].placed[0].stop = "room"
+    harness.cluster.jobs["job-1"].placed[0].stop_reason = "room"
     harness.report()
     assert harness.state() == PLACED
     # It timed out: it may land minutes from now, so absence still proves nothing.
@@ -181,7 +185,7 @@
     harness.report()
     assert harness.state() == PLACED
     # A new session drops it for good.
-    harness.report(session=2)
+    harness.report(incarnation=2)
     assert harness.state() == WAITING
 
 
@@ -204,7 +208,7 @@
     harness.place()
     harness.record()
     assert harness.report() == START
-    harness.cluster.jobs["job-1"].placed[0].stop = "room"
+    harness.cluster.jobs["job-1"].placed[0].stop_reason = "room"
     # The worker's answer to a direct message may be older than the order on its way.
     harness.report(asked=False)
     assert harness.state() == PLACED
@@ -214,7 +218,7 @@
 
 def test_a_late_report_changes_nothing():
     harness = Harness().running()
-    assert harness.report(tally=1) == []
+    assert harness.report(sequence=1) == []
     assert harness.state() == PLACED
 
 
@@ -230,9 +234,9 @@
     harness.abort()
     assert harness.report() is None
     # Overtaken by an answer to a direct message: the worker awaits its answer all the same.
-    assert harness.report(tally=1) is None
+    assert harness.report(sequence=1) is None
     # It has landed: from here on it can be stopped, and so can a copy of it.
-    assert [order.verb for order in harness.report(("job-1/0", 1, "running"))] == ["stop"]
+    assert [order.operation for order in harness.report(("job-1/0", 1, "running"))] == ["stop"]
     harness = Harness()
     harness.report()
     harness.place()
@@ -240,18 +244,19 @@
     harness.sent(harness.direct(), unsure=True)
     harness.abort()
     assert harness.report() is None
-    assert harness.report(session=2) == []
+    assert harness.report(incarnation=2) == []
 
 
 def test_a_late_copy_shows_nothing_of_how_the_machine_is():
     harness = Harness().running()
-    heard = harness.now
+    last_heartbeat_at = harness.now
     harness.now += seconds(30)
-    assert harness.report(("job-1/0", 1, "running"), tally=harness.tally) == []
-    harness.report(("job-1/0", 1, "running"), tally=2)
+    assert harness.report(("job-1/0", 1, "running"), sequence=harness.sequence) == []
+    harness.report(("job-1/0", 1, "running"), sequence=2)
     machine = harness.cluster.machines["n-1"]
-    assert machine.heard == harness.cluster.heard == heard and not harness.cluster.usable(
-        machine, harness.now
+    assert (
+        machine.last_heartbeat_at == harness.cluster.last_heartbeat_at == last_heartbeat_at
+        and not harness.cluster.is_usable(machine, harness.now)
     )
 
 
@@ -262,16 +267,16 @@
         harness.report(("job-1/0", 1, "running"))
     harness.now += seconds(1)
     # Its new session proves its task gone, yet nothing more is placed there.
-    harness.report(session=2)
+    harness.report(incarnation=2)
     machine = harness.cluster.machines["n-1"]
-    assert harness.state() == WAITING and not harness.cluster.usable(machine, harness.now)
+    assert harness.state() == WAITING and not harness.cluster.is_usable(machine, harness.now)
     # Its reports alone change nothing; that this session outlives a lease does: answers arrive again.
     harness.now += seconds(5)
-    harness.report(session=2)
-    assert not harness.cluster.usable(machine, harness.now)
+    harness.report(incarnation=2)
+    assert not harness.cluster.is_usable(machine, harness.now)
     harness.now += seconds(7)
-    harness.report(session=2)
-    assert harness.cluster.usable(machine, harness.now)
+    harness.report(incarnation=2)
+    assert harness.cluster.is_usable(machine, harness.now)
 
 
 def test_a_machine_whose_starts_do_not_show_is_deaf_until_one_does():
@@ -283,9 +288,9 @@
         assert harness.report() == START
     harness.report()
     machine = harness.cluster.machines["n-1"]
-    assert not harness.cluster.usable(machine, harness.now) and harness.state() == PLACED
+    assert not harness.cluster.is_usable(machine, harness.now) and harness.state() == PLACED
     harness.report(("job-1/0", 1, "pulling"))
-    assert harness.cluster.usable(machine, harness.now)
+    assert harness.cluster.is_usable(machine, harness.now)
 
 
 def test_an_unanswered_order_makes_a_machine_deaf_and_an_answer_to_a_probe_ends_it():
@@ -296,22 +301,22 @@
     harness.sent(harness.direct(), unsure=True)
     harness.report()
     machine = harness.cluster.machines["n-1"]
-    assert not harness.cluster.usable(machine, harness.now)
-    harness.cluster.hears(machine, harness.now)
-    assert harness.cluster.usable(machine, harness.now)
+    assert not harness.cluster.is_usable(machine, harness.now)
+    harness.cluster.on_machine_reached(machine, harness.now)
+    assert harness.cluster.is_usable(machine, harness.now)
 
 
 def test_starts_are_recorded_before_ends():
     """Ends, of which nobody waits to hear, used to keep starts waiting for seconds."""
     harness = Harness()
-    harness.cluster.take_job(JobRecord("open", spec("job-2", 20), 1), 2)
+    harness.cluster.observe_job(JobRecord("open", spec("job-2", 20), 1), 2)
     harness.report()
     for index in range(20):
-        harness.cluster._changed(harness.cluster.jobs["job-2"], index)
+        harness.cluster._mark_task_changed(harness.cluster.jobs["job-2"], index)
     harness.place()
-    batch = harness.cluster.collect(5, {}, spare=2)
-    assert [(write.job, write.first) for write in batch.chunks][0] == ("job-1", 0)
-    assert len(batch.chunks) == 3
+    batch = harness.cluster.collect_writes(5, {}, spare=2)
+    assert [(write.job, write.first_task) for write in batch.ranges][0] == ("job-1", 0)
+    assert len(batch.ranges) == 3
 
 
 def test_only_the_clouds_word_frees_the_tasks_of_a_silent_machine():
@@ -319,7 +324,7 @@
     harness.now += seconds(1000)
     harness.cluster.snapshot(harness.now)
     assert harness.state() == PLACED
-    harness.cluster.machine_gone("n-1", "released")
+    harness.cluster.on_machine_terminated("n-1", "released")
     assert harness.state() == WAITING
     # Reports that were under way do not bring the machine back.
     assert harness.report(("job-1/0", 1, "running")) is None
@@ -331,31 +336,33 @@
     harness = Harness().running()
     machine = harness.cluster.machines["n-1"]
     harness.now += seconds(20)
-    assert harness.cluster.silent(machine, harness.now, seconds(11))
-    harness.cluster.vouch(["n-1", "n-unknown"], harness.now)
-    assert not harness.cluster.silent(machine, harness.now + seconds(10), seconds(11))
-    assert harness.cluster.silent(machine, harness.now + seconds(12), seconds(11))
+    assert harness.cluster.is_silent(machine, harness.now, seconds(11))
+    harness.cluster.on_leases_renewed_by_peer(["n-1", "n-unknown"], harness.now)
+    assert not harness.cluster.is_silent(machine, harness.now + seconds(10), seconds(11))
+    assert harness.cluster.is_silent(machine, harness.now + seconds(12), seconds(11))
     # It counts as alive, but nothing new is placed on it.
-    assert not harness.cluster.usable(machine, harness.now)
+    assert not harness.cluster.is_usable(machine, harness.now)
 
 
 def test_a_machine_known_from_the_record_alone_gets_its_address_from_the_list():
     harness = Harness()
-    harness.cluster.load_chunk("job-1", 0, Chunk(placed={0: Placement(1, "n-1", 1)}), harness.now)
-    harness.cluster.found([("n-1", "y:1", "z")])
+    harness.cluster.load_range(
+        "job-1", 0, TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)}), harness.now
+    )
+    harness.cluster.observe_listed_machines([("n-1", "y:1", "z")])
     machine = harness.cluster.machines["n-1"]
-    assert machine.address == "y:1" and not harness.cluster.usable(machine, harness.now)
+    assert machine.address == "y:1" and not harness.cluster.is_usable(machine, harness.now)
     harness.report(("job-1/0", 1, "running"))
-    harness.cluster.found([("n-1", "y:1", "other")])
+    harness.cluster.observe_listed_machines([("n-1", "y:1", "other")])
     assert machine.address == "x:1" and machine.zone == "z"
 
 
 def test_attempt_numbers_never_repeat():
     harness = Harness().running()
     harness.report(("job-1/0", 1, "exited", "halted"))
-    chunk = harness.cluster.jobs["job-1"].encode(0)
+    chunk = harness.cluster.jobs["job-1"].encode_range(0)
     successor = Harness()
-    successor.cluster.load_chunk("job-1", 0, chunk, successor.now)
+    successor.cluster.load_range("job-1", 0, chunk, successor.now)
     successor.report()
     successor.place()
     assert successor.cluster.jobs["job-1"].placed[0].attempt == 2
@@ -364,11 +371,13 @@
 def test_a_message_holds_only_as_many_orders_as_a_line_may():
     harness = Harness()
     harness.cluster.teams = {}
-    harness.cluster.take_job(JobRecord("open", spec("job-2", 1000), 256), 2)
+    harness.cluster.observe_job(JobRecord("open", spec("job-2", 1000), 256), 2)
     harness.report()
-    harness.cluster.apply(Plan(starts=[Start("job-2", at, "n-1") for at in range(1000)]), harness.now)
+    harness.cluster.apply_plan(
+        Plan(placements=[Placement("job-2", at, "n-1") for at in range(1000)]), harness.now
+    )
     harness.record()
-    told: list[Order] = []
+    told: list[Command] = []
     sizes = []
     for _ in range(4):
         orders = harness.report(*[(order.task, order.attempt, "pulling") for order in told])
@@ -380,35 +389,35 @@
 def test_an_abort_stops_what_runs_and_starts_nothing_more():
     harness = Harness().running()
     harness.place(1)
-    harness.cluster.take_job(JobRecord("aborted", spec(), 1), 2)
+    harness.cluster.observe_job(JobRecord("aborted", spec(), 1), 2)
     assert 1 not in harness.cluster.jobs["job-1"].placed
     orders = harness.report(("job-1/0", 1, "running"))
-    assert orders == [Order("stop", "job-1/0", 1, 0.0)]
+    assert orders == [Command("stop", "job-1/0", 1, 0.0)]
     assert not harness.cluster.snapshot(harness.now).jobs
-    assert harness.cluster.apply(Plan(starts=[Start("job-1", 1, "n-1")]), harness.now) == 0
+    assert harness.cluster.apply_plan(Plan(placements=[Placement("job-1", 1, "n-1")]), harness.now) == 0
 
 
 def test_a_higher_token_deposes():
-    with pytest.raises(Deposed):
+    with pytest.raises(StaleTokenError):
         Harness().report(token=TOKEN + 1)
 
 
 def test_a_stray_attempt_is_stopped_and_then_cleared():
     harness = Harness()
-    assert harness.report(("job-9/0", 1, "running")) == [Order("stop", "job-9/0", 1, 0.0)]
-    assert harness.report(("job-9/0", 1, "exited", "halted")) == [Order("clear", "job-9/0", 1)]
+    assert harness.report(("job-9/0", 1, "running")) == [Command("stop", "job-9/0", 1, 0.0)]
+    assert harness.report(("job-9/0", 1, "exited", "halted")) == [Command("clear", "job-9/0", 1)]
 
 
 def test_errors_of_several_jobs_condemn_a_machine_and_of_one_job_do_not():
     harness = Harness()
     for number in (2, 3):
-        harness.cluster.take_job(JobRecord("open", spec(f"job-{number}", 1), 1), number)
+        harness.cluster.observe_job(JobRecord("open", spec(f"job-{number}", 1), 1), number)
     harness.report()
     harness.report(machine="n-2")
 
     def fail(job, machine):
-        index = harness.cluster.jobs[job].waiting(1)[0]
-        assert harness.cluster.apply(Plan(starts=[Start(job, index, machine)]), harness.now) == 1
+        index = harness.cluster.jobs[job].waiting_tasks(1)[0]
+        assert harness.cluster.apply_plan(Plan(placements=[Placement(job, index, machine)]), harness.now) == 1
         attempt = harness.cluster.jobs[job].placed[index].attempt
         harness.record()
         harness.report(machine=machine)
@@ -417,16 +426,16 @@
     fail("job-1", "n-1")
     fail("job-1", "n-2")
     # The same job failed on both: it is paused, neither machine is blamed.
-    assert harness.cluster.jobs["job-1"].not_before > harness.now
-    assert not harness.cluster.machines["n-1"].errors and not harness.cluster.machines["n-2"].errors
+    assert harness.cluster.jobs["job-1"].paused_until > harness.now
+    assert not harness.cluster.machines["n-1"].failed_jobs and not harness.cluster.machines["n-2"].failed_jobs
     fail("job-2", "n-1")
     fail("job-3", "n-1")
-    assert harness.cluster.machines["n-1"].condemned and harness.cluster.jobs["job-1"].open
+    assert harness.cluster.machines["n-1"].quarantined and harness.cluster.jobs["job-1"].is_open
 
 
 def test_a_machine_is_used_again_once_a_job_that_condemned_it_fails_elsewhere():
     harness = Harness()
-    harness.cluster.take_job(JobRecord("open", spec("job-2", 2), 1), 2)
+    harness.cluster.observe_job(JobRecord("open", spec("job-2", 2), 1), 2)
     for name in ("n-1", "n-2", "n-3"):
         harness.report(machine=name)
 
@@ -436,20 +445,20 @@
 
     fail("job-1", "n-1")
     fail("job-2", "n-1")
-    assert harness.cluster.machines["n-1"].condemned
+    assert harness.cluster.machines["n-1"].quarantined
     fail("job-2", "n-2")
-    assert not harness.cluster.machines["n-1"].condemned and harness.cluster.machines["n-1"].errors == {
-        "job-1"
-    }
+    assert not harness.cluster.machines["n-1"].quarantined and harness.cluster.machines[
+        "n-1"
+    ].failed_jobs == {"job-1"}
 
 
 def start_all(harness, job, machines):
     """Starts a waiting task of the job on each of the machines."""
     for machine in machines:
         harness.report(machine=machine)
-    waiting = harness.cluster.jobs[job].waiting(len(machines))
-    starts = [Start(job, index, machine) for index, machine in zip(waiting, machines, strict=True)]
-    assert harness.cluster.apply(Plan(starts=starts), harness.now) == len(starts)
+    waiting = harness.cluster.jobs[job].waiting_tasks(len(machines))
+    starts = [Placement(job, index, machine) for index, machine in zip(waiting, machines, strict=True)]
+    assert harness.cluster.apply_plan(Plan(placements=starts), harness.now) == len(starts)
     harness.record()
     for machine in machines:
         harness.report(machine=machine)
@@ -468,26 +477,28 @@
 def test_a_job_that_fails_everywhere_is_tried_by_one_task_at_a_time():
     """All its tasks were started at the end of each pause, and each failure lengthened the next one."""
     harness = Harness()
-    harness.cluster.take_job(JobRecord("open", spec("job-2", 6), 1), 2)
+    harness.cluster.observe_job(JobRecord("open", spec("job-2", 6), 1), 2)
     harness.report()
     harness.report(machine="n-2")
     job = harness.cluster.jobs["job-2"]
 
     def tries():
         return [
-            len(view.waiting) for view in harness.cluster.snapshot(harness.now).jobs if view.id == "job-2"
+            len(view.waiting_tasks)
+            for view in harness.cluster.snapshot(harness.now).jobs
+            if view.id == "job-2"
         ]
 
     assert tries() == [6]
     start_all(harness, "job-2", ["n-1", "n-1", "n-2", "n-2"])
     end_all(harness, "job-2", "error")
-    assert job.not_before == harness.now + seconds(5) and tries() == []
+    assert job.paused_until == harness.now + seconds(5) and tries() == []
     harness.now += seconds(5)
     assert tries() == [1]
     start_all(harness, "job-2", ["n-1"])
     assert tries() == []
     end_all(harness, "job-2", "error")
-    assert job.not_before == harness.now + seconds(10)
+    assert job.paused_until == harness.now + seconds(10)
     harness.now += seconds(10)
     start_all(harness, "job-2", ["n-2"])
     end_all(harness, "job-2", "running")
@@ -495,29 +506,29 @@
     # It has run for longer than it was paused.
     assert tries() == [5]
     end_all(harness, "job-2", "done")
-    assert tries() == [5] and not harness.cluster.machines["n-2"].errors
+    assert tries() == [5] and not harness.cluster.machines["n-2"].failed_jobs
 
 
 def next_leader(harness, job):
     """The cluster as a new leader reads it from the records."""
     cluster = make_cluster()
-    cluster.take_job(JobRecord("open", job.spec, job.chunk), 2)
-    for number in range(job.spec.tasks // job.chunk):
-        chunk = job.encode(number)
+    cluster.observe_job(JobRecord("open", job.spec, job.range_size), 2)
+    for number in range(job.spec.tasks // job.range_size):
+        chunk = job.encode_range(number)
         if chunk is not None:
-            cluster.load_chunk(job.id, number, chunk, harness.now)
-    cluster.loaded()
+            cluster.load_range(job.id, number, chunk, harness.now)
+    cluster.finish_loading()
     return cluster
 
 
 def waiting(cluster, job, now):
-    return sum(len(view.waiting) for view in cluster.snapshot(now).jobs if view.id == job)
+    return sum(len(view.waiting_tasks) for view in cluster.snapshot(now).jobs if view.id == job)
 
 
 def test_a_new_leader_goes_on_trying_a_job_that_fails_everywhere_by_one_task():
     """It forgot which jobs fail, and started their whole batch again."""
     harness = Harness()
-    harness.cluster.take_job(JobRecord("open", spec("job-2", 6), 1), 2)
+    harness.cluster.observe_job(JobRecord("open", spec("job-2", 6), 1), 2)
     harness.report()
     harness.report(machine="n-2")
     job = harness.cluster.jobs["job-2"]
@@ -551,14 +562,14 @@
 )
 def test_a_job_whose_tasks_were_lost_is_not_tried_by_one_task(tried, placed, done, fields):
     cluster = make_cluster()
-    cluster.take_job(JobRecord("open", spec("job-2", 4, **fields), 4), 2)
-    chunk = Chunk(
+    cluster.observe_job(JobRecord("open", spec("job-2", 4, **fields), 4), 2)
+    chunk = TaskRangeRecord(
         [(index, index) for index in done],
-        {index: Placement(attempt, "n-1", 1) for index, attempt in placed.items()},
+        {index: StoredAttempt(attempt, "n-1", 1) for index, attempt in placed.items()},
         {index: attempts for index, attempts in enumerate(tried) if attempts},
     )
-    cluster.load_chunk("job-2", 0, chunk, seconds(100))
-    cluster.loaded()
+    cluster.load_range("job-2", 0, chunk, seconds(100))
+    cluster.finish_loading()
     assert waiting(cluster, "job-2", seconds(100)) == 4 - len(placed) - len(done)
     assert cluster.jobs["job-2"].backoff == seconds(0)
 
@@ -571,7 +582,7 @@
     harness.record()
     harness.place(1)
     harness.record()
-    assert Order("start", "job-1/1", 1) in harness.report(("job-1/0", 1, "exited", "error"))
+    assert Command("start", "job-1/1", 1) in harness.report(("job-1/0", 1, "exited", "error"))
     harness.report(("job-1/1", 1, "pulling"))
     harness.report(("job-1/1", 1, "running"))
     harness.now += seconds(3)
@@ -586,51 +597,53 @@
     def __init__(self):
         super().__init__()
         self.harness = Harness()
-        self.session, self.tally = 1, 0
+        self.incarnation, self.sequence = 1, 0
         self.tasks: dict[tuple[str, int], str] = {}
-        self.flying: list[tuple[int, list[Order]]] = []
+        self.flying: list[tuple[int, list[Command]]] = []
         self.token = 0
 
     def shown(self):
-        self.tally += 1
+        self.sequence += 1
         shown = [
-            TaskReport(
+            TaskStatus(
                 task,
                 attempt,
-                stage,
+                state,
                 "done"
-                if stage == "exited" and attempt % 3 == 0
-                else ("halted" if stage == "exited" else None),
+                if state == "exited" and attempt % 3 == 0
+                else ("halted" if state == "exited" else None),
             )
-            for (task, attempt), stage in self.tasks.items()
+            for (task, attempt), state in self.tasks.items()
         ]
-        return Report("n-1", "x:1", "m", "z", True, self.session, self.tally, self.token, shown)
+        return Heartbeat("n-1", "x:1", "m", "z", True, self.incarnation, self.sequence, self.token, shown)
 
     def obey(self, orders):
         for order in orders:
             key = (order.task, order.attempt)
-            if order.verb == "start":
+            if order.operation == "start":
                 self.tasks.setdefault(key, "running")
-            elif order.verb == "stop" and key in self.tasks:
+            elif order.operation == "stop" and key in self.tasks:
                 self.tasks[key] = "exited"
-            elif order.verb == "clear" and self.tasks.get(key) == "exited":
+            elif order.operation == "clear" and self.tasks.get(key) == "exited":
                 del self.tasks[key]
 
     @rule(deliver=st.booleans())
     def report(self, deliver):
         report = self.shown()
-        orders = self.harness.cluster.report(report, self.harness.now, True)
+        orders = self.harness.cluster.on_heartbeat(report, self.harness.now, True)
         if deliver and orders is not None:
             self.token = TOKEN
             self.obey(orders)
 
     @rule(index=st.integers(0, 1))
     def plan(self, index):
-        self.harness.cluster.apply(Plan(starts=[Start("job-1", index, "n-1")]), self.harness.now)
+        self.harness.cluster.apply_plan(Plan(placements=[Placement("job-1", index, "n-1")]), self.harness.now)
 
     @rule(index=st.integers(0, 1))
     def preempt(self, index):
-        self.harness.cluster.apply(Plan(stops=[Stop("job-1", index, "n-1", "job-2")]), self.harness.now)
+        self.harness.cluster.apply_plan(
+            Plan(preemptions=[Preemption("job-1", index, "n-1", "job-2")]), self.harness.now
+        )
 
     @rule()
     def record(self):
@@ -638,34 +651,34 @@
 
     @rule(fate=st.sampled_from(["answered", "answer lost", "late", "lost"]))
     def send(self, fate):
-        for machine, session, orders in self.harness.cluster.to_send(self.harness.now):
-            if fate in ("answered", "answer lost") and session == self.session:
+        for machine, incarnation, orders in self.harness.cluster.take_direct_commands(self.harness.now):
+            if fate in ("answered", "answer lost") and incarnation == self.incarnation:
                 self.token = TOKEN
                 self.obey(orders)
             if fate == "late":
-                self.flying.append((session, orders))
+                self.flying.append((incarnation, orders))
             report = self.shown() if fate == "answered" else None
-            self.harness.cluster.sent(machine, orders, report is None, self.harness.now)
+            self.harness.cluster.on_commands_sent(machine, orders, report is None, self.harness.now)
             if report is not None:
-                self.harness.cluster.report(report, self.harness.now, False)
+                self.harness.cluster.on_heartbeat(report, self.harness.now, False)
 
     @precondition(lambda self: self.flying)
     @rule()
     def land(self):
-        session, orders = self.flying.pop(0)
-        if session == self.session:
+        incarnation, orders = self.flying.pop(0)
+        if incarnation == self.incarnation:
             self.obey(orders)
 
     @rule(which=st.integers(0, 3))
     def end_of_a_task(self, which):
-        running = [key for key, stage in self.tasks.items() if stage == "running"]
+        running = [key for key, state in self.tasks.items() if state == "running"]
         if which < len(running):
             self.tasks[running[which]] = "exited"
 
     @rule()
     def lease_ends(self):
         self.tasks.clear()
-        self.session, self.tally = self.session + 1, 0
+        self.incarnation, self.sequence = self.incarnation + 1, 0
 
     @rule()
     def abort(self):
@@ -674,18 +687,18 @@
     @invariant()
     def what_runs_is_booked(self):
         job = self.harness.cluster.jobs["job-1"]
-        for (task, attempt), stage in self.tasks.items():
-            if stage == "running":
+        for (task, attempt), state in self.tasks.items():
+            if state == "running":
                 _, index = split_task(task)
                 assert index in job.placed and job.placed[index].attempt == attempt, (task, attempt)
 
     @invariant()
     def a_start_that_can_land_is_booked_or_known_to_the_worker(self):
         job = self.harness.cluster.jobs["job-1"]
-        for session, orders in self.flying:
+        for incarnation, orders in self.flying:
             for order in orders:
                 key = (order.task, order.attempt)
-                if order.verb == "start" and session == self.session and key not in self.tasks:
+                if order.operation == "start" and incarnation == self.incarnation and key not in self.tasks:
                     _, index = split_task(order.task)
                     assert index in job.placed and job.placed[index].attempt == order.attempt, key
 
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -5,18 +5,18 @@
 
 import pytest
 
-from spindleglade.backfill.snapshot import Plan, Start
+from spindleglade.backfill.snapshot import Placement, Plan
 from spindleglade.clock import ManualClock, seconds
 from spindleglade.leader import Leader
 from spindleglade.leadership.election import Term
 from spindleglade.pipelines import PipelineUpdater
 from spindleglade.settings import OperatorSettings
-from spindleglade.store.client import Entry, Listing, raw
-from spindleglade.submissions.records import Chunk, JobRecord, Placement, job_key
+from spindleglade.store.client import Entry, Listing, encode_value
+from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, job_key
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.attempts import WAITING
-from spindleglade.workers.messages import Order
-from spindleglade.workers.recorder import Recorder
+from spindleglade.workers.messages import Command
+from spindleglade.workers.recorder import StateWriter
 from spindleglade.workers.test_cluster import RULES, TOKEN, Harness, spec
 from spindleglade.workers.test_recorder import Store
 from tests.deployment import Deployment, platform
@@ -30,7 +30,7 @@
     """A machine that is up, job-1 open, and job-2 that waits for it."""
     harness = Harness()
     harness.report()
-    harness.cluster.take_job(dependent(), 2, harness.now)
+    harness.cluster.observe_job(dependent(), 2, harness.now)
     return harness
 
 
@@ -41,97 +41,99 @@
 def test_a_job_that_waits_is_no_candidate_and_no_plan_starts_it():
     harness = waiting()
     assert set(candidates(harness)) == {"job-1"}
-    start = Plan(starts=[Start("job-2", 0, "n-1")])
-    assert harness.cluster.apply(start, harness.now) == 0
-    harness.cluster.release("job-2", harness.now, timedelta(0))
+    start = Plan(placements=[Placement("job-2", 0, "n-1")])
+    assert harness.cluster.apply_plan(start, harness.now) == 0
+    harness.cluster.release_job("job-2", harness.now, timedelta(0))
     assert set(candidates(harness)) == {"job-1", "job-2"}
-    assert harness.cluster.apply(start, harness.now) == 1
+    assert harness.cluster.apply_plan(start, harness.now) == 1
 
 
 def test_the_clock_of_overdue_jobs_counts_from_the_release():
     harness = waiting()
-    harness.now += RULES.patience * 3
-    harness.cluster.release("job-2", harness.now, RULES.patience / 2)
+    harness.now += RULES.overdue_after * 3
+    harness.cluster.release_job("job-2", harness.now, RULES.overdue_after / 2)
     found = candidates(harness)
-    assert found["job-1"].overdue and not found["job-2"].overdue
-    harness.now += RULES.patience / 2
-    assert candidates(harness)["job-2"].overdue
+    assert found["job-1"].is_overdue and not found["job-2"].is_overdue
+    harness.now += RULES.overdue_after / 2
+    assert candidates(harness)["job-2"].is_overdue
 
 
 def test_the_deadline_counts_from_the_submission_however_long_the_job_waits():
     harness = Harness()
-    harness.cluster.take_job(dependent(deadline_s=100.0), 2, harness.now, seconds(30))
+    harness.cluster.observe_job(dependent(deadline_s=100.0), 2, harness.now, seconds(30))
     expected = harness.now + seconds(70)
     assert harness.cluster.jobs["job-2"].deadline == expected
     harness.now += seconds(60)
-    harness.cluster.release("job-2", harness.now, timedelta(0))
+    harness.cluster.release_job("job-2", harness.now, timedelta(0))
     assert harness.cluster.jobs["job-2"].deadline == expected
 
 
 def test_no_start_of_a_job_that_waits_is_ordered_though_a_placement_is_on_record():
     harness = waiting()
-    harness.cluster.load_chunk("job-2", 0, Chunk(placed={0: Placement(3, "n-1", 1)}), harness.now)
-    assert harness.report() == [] and not harness.cluster.to_send(harness.now)
-    harness.cluster.release("job-2", harness.now, timedelta(0))
-    assert harness.report() == [Order("start", "job-2/0", 3)]
+    harness.cluster.load_range(
+        "job-2", 0, TaskRangeRecord(placed={0: StoredAttempt(3, "n-1", 1)}), harness.now
+    )
+    assert harness.report() == [] and not harness.cluster.take_direct_commands(harness.now)
+    harness.cluster.release_job("job-2", harness.now, timedelta(0))
+    assert harness.report() == [Command("start", "job-2/0", 3)]
 
 
 def test_a_dependent_with_tasks_on_record_is_not_overdue_for_a_new_leader():
     """When its latest start was is not on record, so its clock begins anew, as that of any other job."""
     harness = waiting()
-    harness.now += RULES.patience * 3
-    placed = Chunk(placed={0: Placement(1, "n-1", 1)})
+    harness.now += RULES.overdue_after * 3
+    placed = TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)})
     for job in ("job-1", "job-2"):
-        harness.cluster.load_chunk(job, 0, placed, harness.now)
-    harness.cluster.release("job-2", harness.now, RULES.patience * 2)
-    harness.cluster.jobs["job-2"].state[0] = WAITING
+        harness.cluster.load_range(job, 0, placed, harness.now)
+    harness.cluster.release_job("job-2", harness.now, RULES.overdue_after * 2)
+    harness.cluster.jobs["job-2"].task_states[0] = WAITING
     harness.cluster.jobs["job-2"].placed.clear()
-    assert not candidates(harness)["job-2"].overdue
-    harness.now += RULES.patience
-    assert candidates(harness)["job-2"].overdue
+    assert not candidates(harness)["job-2"].is_overdue
+    harness.now += RULES.overdue_after
+    assert candidates(harness)["job-2"].is_overdue
 
 
 def test_a_job_cancelled_through_an_ancestor_is_over_without_a_write():
     harness = waiting()
-    harness.cluster.cancel_dependent("job-2")
+    harness.cluster.cancel_through_dependency("job-2")
     assert set(candidates(harness)) == {"job-1"}
-    batch = harness.cluster.collect(9, {})
-    assert list(batch.over) == ["job-2"] and batch.size == 0
-    harness.cluster.forget("job-2")
+    batch = harness.cluster.collect_writes(9, {})
+    assert list(batch.finished_jobs) == ["job-2"] and batch.size == 0
+    harness.cluster.forget_job("job-2")
     # Released and cancelled exclude each other; nothing brings it back.
-    harness.cluster.release("job-2", harness.now, timedelta(0))
+    harness.cluster.release_job("job-2", harness.now, timedelta(0))
     assert set(candidates(harness)) == {"job-1"}
 
 
 def test_urgency_changes_the_rank_and_presses_near_the_latest_start():
     harness = waiting()
     harness.cluster.set_urgency("job-1", 3, harness.now + seconds(5))
-    assert (candidates(harness)["job-1"].rank, candidates(harness)["job-1"].pressing) == (3, False)
+    assert (candidates(harness)["job-1"].rank, candidates(harness)["job-1"].is_urgent) == (3, False)
     harness.now += seconds(5)
-    assert candidates(harness)["job-1"].pressing
+    assert candidates(harness)["job-1"].is_urgent
     harness.cluster.set_urgency("job-1", 1, None)
-    assert (candidates(harness)["job-1"].rank, candidates(harness)["job-1"].pressing) == (1, False)
+    assert (candidates(harness)["job-1"].rank, candidates(harness)["job-1"].is_urgent) == (1, False)
 
 
 def ended(harness, id):
     job = harness.cluster.jobs[id]
-    for index in range(len(job.state)):
-        job.state[index], job.done = 2, job.done + 1
-        harness.cluster._changed(job, index)
+    for index in range(len(job.task_states)):
+        job.task_states[index], job.done = 2, job.done + 1
+        harness.cluster._mark_task_changed(job, index)
 
 
 def test_the_end_of_a_job_that_others_wait_for_is_recorded_ahead_of_all_else():
     harness = Harness()
     harness.report()
     for number in range(2, 6):
-        harness.cluster.take_job(JobRecord("open", spec(f"job-{number}", 1), 8), number)
+        harness.cluster.observe_job(JobRecord("open", spec(f"job-{number}", 1), 8), number)
         ended(harness, f"job-{number}")
     harness.place()
-    harness.cluster.set_awaited("job-5", True)
-    assert [done for done, _, _ in harness.cluster.collect(1, {}).done] == ["job-5"]
+    harness.cluster.set_has_dependents("job-5", True)
+    assert [done for done, _, _ in harness.cluster.collect_writes(1, {}).done] == ["job-5"]
     # Then the starts, then the other ends.
-    batch = harness.cluster.collect(2, {})
-    assert [job for job, *_ in batch.chunks] == ["job-1"] and [job for job, _, _ in batch.done] == ["job-2"]
+    batch = harness.cluster.collect_writes(2, {})
+    assert [job for job, *_ in batch.ranges] == ["job-1"] and [job for job, _, _ in batch.done] == ["job-2"]
 
 
 @pytest.mark.parametrize("fate", ["ok", "refused", "answer lost"])
@@ -141,8 +143,8 @@
     harness, clock, learned = Harness(), ManualClock(), []
     ended(harness, "job-1")
     store = Store([fate])
-    store.values[job_key("job-1")] = raw(JobRecord("done", spec(), 1))
-    recorder = Recorder(
+    store.values[job_key("job-1")] = encode_value(JobRecord("done", spec(), 1))
+    recorder = StateWriter(
         harness.cluster,
         store,
         clock,
@@ -150,7 +152,7 @@
         {},
         lambda: None,
         str,
-        lambda key, value, mark: learned.append((key, mark, value)),
+        lambda key, value, mod_revision: learned.append((key, mod_revision, value)),
     )
     recorder.start()
     assert bool(learned) == (fate == "ok")
@@ -166,8 +168,8 @@
     def __init__(self, views):
         self._views = views
 
-    def learn(self, key, value, mark):
-        self._views.listener(key, value, mark)
+    def observe(self, key, value, mod_revision):
+        self._views.on_change(key, value, mod_revision)
 
 
 class Listed:
@@ -185,7 +187,10 @@
     """A leader that has read these records, ahead of its replica; the node's views, and what applies the
     dependencies among them to the leader's state."""
     views = JobViews()
-    entries = [Entry(job_key(record.spec.id), raw(record), mark) for mark, record in enumerate(records, 1)]
+    entries = [
+        Entry(job_key(record.spec.id), encode_value(record), mod_revision)
+        for mod_revision, record in enumerate(records, 1)
+    ]
     leader = Leader(
         Term(TOKEN, 5, 1),
         platform(0, Deployment()),
@@ -205,7 +210,7 @@
     harness = Harness()
     leader.cluster = harness.cluster
     leader.cluster.jobs.clear()
-    leader._read(leader.cluster, entries, harness.now)
+    leader._load_records(leader.cluster, entries, harness.now)
     return (
         leader,
         views,
@@ -213,14 +218,14 @@
     )
 
 
-@pytest.mark.parametrize("stage", ["open", "done", "aborted"])
-def test_a_new_leader_releases_by_the_records_it_reads_itself(stage):
-    first = JobRecord(stage, spec(), 8)
+@pytest.mark.parametrize("state", ["open", "done", "aborted"])
+def test_a_new_leader_releases_by_the_records_it_reads_itself(state):
+    first = JobRecord(state, spec(), 8)
     leader, _, pipelines = take_over(first, dependent(), dependent("job-3", ["job-2"]))
     pipelines.update_all()
     job = leader.cluster.jobs["job-2"]
-    assert (job.released, job.aborted) == (stage == "done", stage == "aborted")
-    assert leader.cluster.jobs["job-3"].aborted == (stage == "aborted")
+    assert (job.released, job.cancelled) == (state == "done", state == "aborted")
+    assert leader.cluster.jobs["job-3"].cancelled == (state == "aborted")
     assert not leader.cluster.jobs["job-3"].released
 
 
@@ -238,8 +243,8 @@
         "job-2": (3, now + seconds(100 - 10 - 10)),
         "job-3": (3, None),
     }
-    views.listener(job_key("job-3"), raw(JobRecord("aborted", last.spec, 8)), 20)
-    leader.cluster.take_job(JobRecord("aborted", last.spec, 8), 20)
+    views.on_change(job_key("job-3"), encode_value(JobRecord("aborted", last.spec, 8)), 20)
+    leader.cluster.observe_job(JobRecord("aborted", last.spec, 8), 20)
     pipelines.update_urgency()
     assert {id: job.rank for id, job in leader.cluster.jobs.items()} == {"job-1": 1, "job-2": 1, "job-3": 3}
 
@@ -249,9 +254,9 @@
 TAKEN_IN_WITHIN_S = 10.0
 
 
-@pytest.mark.parametrize("stage", ["done", "aborted"])
+@pytest.mark.parametrize("state", ["done", "aborted"])
 @pytest.mark.parametrize("shape", ["chain", "fan out", "fan in"])
-def test_a_leader_takes_in_pipelines_of_thousands_and_the_end_of_their_first_job(shape, stage):
+def test_a_leader_takes_in_pipelines_of_thousands_and_the_end_of_their_first_job(shape, state):
     needs = {
         "chain": lambda number: [f"job-{number - 1}"],
         "fan out": lambda number: ["job-1"],
@@ -264,16 +269,16 @@
     began = time.process_time()
     leader, views, pipelines = take_over(*records)
     pipelines.update_all()
-    views.subscribe(pipelines.job_changed)
-    views.listener(job_key("job-1"), raw(JobRecord(stage, spec("job-1", 1), 8)), THOUSANDS + 1)
+    views.subscribe(pipelines.on_job_changed)
+    views.on_change(job_key("job-1"), encode_value(JobRecord(state, spec("job-1", 1), 8)), THOUSANDS + 1)
     pipelines.update_urgency()
     assert time.process_time() - began < TAKEN_IN_WITHIN_S
     last = leader.cluster.jobs[f"job-{THOUSANDS}"]
-    assert last.released == (shape == "fan out" and stage == "done")
-    assert last.aborted == (stage == "aborted")
+    assert last.released == (shape == "fan out" and state == "done")
+    assert last.cancelled == (state == "aborted")
     released = sum(job.released for job in leader.cluster.jobs.values())
     # The first job itself, those that need nothing, and those that its end releases.
     expected = {"chain": 1, "fan out": 1, "fan in": THOUSANDS - 1}[shape]
-    if stage == "done":
+    if state == "done":
         expected += {"chain": 1, "fan out": THOUSANDS - 1, "fan in": 0}[shape]
     assert released == expected
--- a/spindleglade/workers/test_dispatch.py
+++ b/spindleglade/workers/test_dispatch.py
@@ -6,20 +6,20 @@
 import pytest
 
 from spindleglade.clock import ManualClock, seconds
-from spindleglade.web import Crowded, NoAnswer, NotSent
-from spindleglade.workers.cancellation_bound import CancellationBound
-from spindleglade.workers.dispatch import Dispatcher
-from spindleglade.workers.messages import Orders
+from spindleglade.web import ConnectionLimitError, NoResponseError, NotSentError
+from spindleglade.workers.cancellation_bound import CancellationFreshness
+from spindleglade.workers.dispatch import CommandDispatcher
+from spindleglade.workers.messages import CommandBatch
 from spindleglade.workers.test_cluster import START, Harness
 
 
 def make_dispatcher(harness, http, proven=lambda: timedelta(0)):
     clock = ManualClock()
-    bound = CancellationBound(clock, seconds(17), proven)
-    return Dispatcher(harness.cluster, http, clock, seconds(2), str, lambda: None, bound)
+    bound = CancellationFreshness(clock, seconds(17), proven)
+    return CommandDispatcher(harness.cluster, http, clock, seconds(2), str, lambda: None, bound)
 
 
-@pytest.mark.parametrize("error", [Crowded, NotSent, NoAnswer])
+@pytest.mark.parametrize("error", [ConnectionLimitError, NotSentError, NoResponseError])
 def test_orders_not_sent_for_want_of_connections_make_nobody_deaf(error):
     """They are left to the answer of the next report; the machine may well hear."""
 
@@ -32,9 +32,9 @@
     harness.place()
     harness.record()
     dispatcher = make_dispatcher(harness, Http())
-    dispatcher.send()
-    assert (harness.cluster.machines["n-1"].not_receiving is None) == (error is Crowded)
-    if error is not NoAnswer:
+    dispatcher.dispatch()
+    assert (harness.cluster.machines["n-1"].unreachable_since is None) == (error is ConnectionLimitError)
+    if error is not NoResponseError:
         assert harness.report() == START
 
 
@@ -42,13 +42,13 @@
     harness = Harness()
     harness.report()
     harness.place()
-    assert harness.direct() == [] and not harness.cluster.due
+    assert harness.direct() == [] and not harness.cluster.dispatch_queue
     harness.record()
-    assert list(harness.cluster.due) == ["n-1"] and harness.direct() == START
-    assert harness.direct() == [] and not harness.cluster.due
+    assert list(harness.cluster.dispatch_queue) == ["n-1"] and harness.direct() == START
+    assert harness.direct() == [] and not harness.cluster.dispatch_queue
     # An order that was never sent is due again.
-    harness.cluster.sent(harness.cluster.machines["n-1"], START, False, harness.now)
-    assert list(harness.cluster.due) == ["n-1"]
+    harness.cluster.on_commands_sent(harness.cluster.machines["n-1"], START, False, harness.now)
+    assert list(harness.cluster.dispatch_queue) == ["n-1"]
 
 
 def test_a_leader_that_may_not_renew_starts_nothing_but_goes_on_stopping():
@@ -57,21 +57,21 @@
 
     class Http:
         async def request(self, method, address, path, body, timeout):
-            sent.extend(msgspec.json.decode(body, type=Orders).orders)
-            raise NotSent("")
+            sent.extend(msgspec.json.decode(body, type=CommandBatch).commands)
+            raise NotSentError("")
 
     harness = Harness()
     harness.report()
     harness.place()
     harness.record()
     dispatcher = make_dispatcher(harness, Http(), lambda: proven[0])
-    dispatcher.send()
+    dispatcher.dispatch()
     assert sent == []
-    harness.cluster.jobs["job-1"].placed[0].seen = True
-    harness.cluster.jobs["job-1"].placed[0].stage = "running"
+    harness.cluster.jobs["job-1"].placed[0].is_confirmed = True
+    harness.cluster.jobs["job-1"].placed[0].state = "running"
     harness.abort()
-    dispatcher.send()
-    assert [order.verb for order in sent] == ["stop"]
+    dispatcher.dispatch()
+    assert [order.operation for order in sent] == ["stop"]
 
 
 def test_a_start_that_was_withheld_is_sent_once_the_leader_knows_enough():
@@ -79,8 +79,8 @@
     harness.report()
     harness.place()
     harness.record()
-    assert harness.cluster.to_send(harness.now, starts=False) == []
-    assert [orders for _, _, orders in harness.cluster.to_send(harness.now)] == [START]
+    assert harness.cluster.take_direct_commands(harness.now, starts=False) == []
+    assert [orders for _, _, orders in harness.cluster.take_direct_commands(harness.now)] == [START]
 
 
 def test_orders_whose_sending_breaks_are_not_under_way_for_ever():
@@ -94,7 +94,7 @@
     harness.report()
     harness.place()
     harness.record()
-    make_dispatcher(harness, Http()).send()
+    make_dispatcher(harness, Http()).dispatch()
     machine = harness.cluster.machines["n-1"]
-    assert not machine.sending and machine.unsure
+    assert not machine.command_in_flight and machine.unacknowledged_starts
     assert harness.report() == START
--- a/spindleglade/workers/test_reasons.py
+++ b/spindleglade/workers/test_reasons.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from spindleglade.backfill.snapshot import Plan, Start
+from spindleglade.backfill.snapshot import Placement, Plan
 from spindleglade.clock import ManualClock, seconds
 from spindleglade.submissions.records import JobRecord
-from spindleglade.throttle import Throttle
-from spindleglade.workers.attempts import MachineKind
-from spindleglade.workers.reasons import Unusable, Waiting
+from spindleglade.throttle import LogThrottle
+from spindleglade.workers.attempts import MachineTypeCapacity
+from spindleglade.workers.reasons import MachineUnusableReason, PendingReason
 from spindleglade.workers.test_cluster import Harness, spec
 
 
@@ -20,15 +20,15 @@
     "change, reason",
     [
         (changed(), None),
-        (changed(proven=False), Unusable.TOKEN_NOT_SHOWN),
-        (changed(leaves=seconds(9)), Unusable.LEAVES),
-        (changed(not_receiving=seconds(9)), Unusable.NOT_RECEIVING),
-        (changed(condemned=True), Unusable.CONDEMNED),
-        (changed(releasing=True), Unusable.RELEASING),
-        (changed(type="other"), Unusable.TYPE_UNKNOWN),
-        (changed(heard=seconds(90)), Unusable.SILENT),
-        (changed(reported=seconds(90)), Unusable.NOT_RENEWED),
-        (changed(full_until=seconds(109)), Unusable.REFUSED_START),
+        (changed(acknowledged_token=False), MachineUnusableReason.TOKEN_NOT_ACKNOWLEDGED),
+        (changed(terminates_at=seconds(9)), MachineUnusableReason.TERMINATION_ANNOUNCED),
+        (changed(unreachable_since=seconds(9)), MachineUnusableReason.UNREACHABLE),
+        (changed(quarantined=True), MachineUnusableReason.QUARANTINED),
+        (changed(terminating=True), MachineUnusableReason.TERMINATING),
+        (changed(type="other"), MachineUnusableReason.TYPE_UNKNOWN),
+        (changed(last_heartbeat_at=seconds(90)), MachineUnusableReason.SILENT),
+        (changed(last_own_heartbeat_at=seconds(90)), MachineUnusableReason.LEASE_NOT_RENEWED),
+        (changed(refuses_starts_until=seconds(109)), MachineUnusableReason.REFUSED_START),
     ],
 )
 def test_each_reason_for_which_a_machine_gets_no_work_is_told(change, reason):
@@ -36,9 +36,9 @@
     harness.report()
     change(harness)
     machine = harness.cluster.machines["n-1"]
-    assert harness.cluster.why_unusable(machine, harness.now) is reason
-    assert harness.cluster.usable(machine, harness.now) == (reason is None)
-    standstill = harness.cluster.standstill(harness.now)
+    assert harness.cluster.unusable_reason(machine, harness.now) is reason
+    assert harness.cluster.is_usable(machine, harness.now) == (reason is None)
+    standstill = harness.cluster.scheduling_stall(harness.now)
     assert standstill.usable == (reason is None)
     assert dict(standstill.unusable) == ({} if reason is None else {reason: 1})
 
@@ -46,15 +46,20 @@
 def test_each_reason_for_which_a_job_waits_is_told():
     harness = Harness()
     cluster = harness.cluster
-    cluster.kinds = {"m": MachineKind(64.0, 0.0, 64.0, 50.0, 1.0)}
+    cluster.machine_types = {"m": MachineTypeCapacity(64.0, 0.0, 64.0, 50.0, 1.0)}
     harness.report()
     for number, fields in enumerate([{}, {}, {"cpus": 7.0}, {"team": "nobody"}], 2):
-        cluster.take_job(JobRecord("open", spec(f"job-{number}", **fields), 1), number)
+        cluster.observe_job(JobRecord("open", spec(f"job-{number}", **fields), 1), number)
     cluster.jobs["job-2"].released = False
-    cluster.jobs["job-3"].not_before = harness.now + seconds(1)
-    cluster.apply(Plan(starts=[Start("job-1", 0, "n-1")]), harness.now)
-    expected = {Waiting.DEPENDENCIES: 1, Waiting.PAUSED: 1, Waiting.TEAM_LIMIT: 2, Waiting.NO_ROOM: 1}
-    standstill = cluster.standstill(harness.now)
+    cluster.jobs["job-3"].paused_until = harness.now + seconds(1)
+    cluster.apply_plan(Plan(placements=[Placement("job-1", 0, "n-1")]), harness.now)
+    expected = {
+        PendingReason.DEPENDENCIES: 1,
+        PendingReason.PAUSED: 1,
+        PendingReason.TEAM_LIMIT: 2,
+        PendingReason.NO_CAPACITY: 1,
+    }
+    standstill = cluster.scheduling_stall(harness.now)
     assert dict(standstill.waiting) == expected
     assert "no room: 1" in str(standstill) and "machines_usable=1" in str(standstill)
 
@@ -62,13 +67,13 @@
 def test_without_waiting_work_there_is_nothing_to_tell():
     harness = Harness()
     harness.report()
-    harness.cluster.apply(Plan(starts=[Start("job-1", at, "n-1") for at in (0, 1)]), harness.now)
-    assert harness.cluster.standstill(harness.now) is None
+    harness.cluster.apply_plan(Plan(placements=[Placement("job-1", at, "n-1") for at in (0, 1)]), harness.now)
+    assert harness.cluster.scheduling_stall(harness.now) is None
 
 
 def test_a_throttle_allows_something_once_in_a_while():
     clock = ManualClock()
-    throttle = Throttle(clock, seconds(5))
+    throttle = LogThrottle(clock, seconds(5))
     allowed = []
     for _ in range(11):
         allowed.append(throttle.allows())
--- a/spindleglade/workers/test_recorder.py
+++ b/spindleglade/workers/test_recorder.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from twisted.internet.defer import Deferred
 
-from spindleglade.backfill.snapshot import Plan, Start
+from spindleglade.backfill.snapshot import Placement, Plan
 from spindleglade.clock import ManualClock, seconds
 from spindleglade.leader import Leader
 from spindleglade.leadership.election import LEADER, Term
@@ -15,20 +15,28 @@
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.client import (
     Committed,
+    ConditionFailed,
     Entry,
+    NotAppliedError,
+    OutcomeUnknownError,
     Put,
-    Refused,
     StateClient,
-    Unavailable,
-    Unknown,
-    raw,
+    encode_value,
+)
+from spindleglade.submissions.records import (
+    JOBS,
+    OVERFLOW_RANGES,
+    TASK_RANGES,
+    JobRecord,
+    TaskRangeRecord,
+    job_key,
+    range_key,
 )
-from spindleglade.submissions.records import JOBS, PARTS, TASKS, Chunk, JobRecord, chunk_key, job_key
 from spindleglade.submissions.views import JobViews
 from spindleglade.test_leader import Learner
-from spindleglade.web import NoAnswer, Response
-from spindleglade.workers.messages import Report, TaskReport
-from spindleglade.workers.recorder import Recorder
+from spindleglade.web import ClientResponse, NoResponseError
+from spindleglade.workers.messages import Heartbeat, TaskStatus
+from spindleglade.workers.recorder import StateWriter
 from spindleglade.workers.test_cluster import TOKEN, make_cluster, spec
 from tests.deployment import Deployment, platform
 from tests.standins import StateService
@@ -39,43 +47,45 @@
 
     def __init__(self, fates=()):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
-        self.turn, self.marks = 10, {LEADER: 5, job_key("job-1"): 1}
+        self.revision, self.mod_revisions = 10, {LEADER: 5, job_key("job-1"): 1}
         self.values = {}
         self.fates, self.sizes, self.spare_writes = list(fates), [], 12
         self.value_bytes = 16 * 1024
 
-    async def txn(self, when, writes, urgent=False):
+    async def compare_and_swap(self, conditions, writes, urgent=False):
         fate = self.fates.pop(0) if self.fates else "ok"
         if fate == "refused":
-            raise Unavailable("503")
-        self.sizes.append(len(msgspec.json.encode([when, writes])))
-        assert self.sizes[-1] <= 64 * 1024 and len(writes) <= 12 and len(when) <= 48
-        failed = {at.key for at in when if self.marks.get(at.key, 0) != at.mark}
+            raise NotAppliedError("503")
+        self.sizes.append(len(msgspec.json.encode([conditions, writes])))
+        assert self.sizes[-1] <= 64 * 1024 and len(writes) <= 12 and len(conditions) <= 48
+        failed = {at.key for at in conditions if self.mod_revisions.get(at.key, 0) != at.mod_revision}
         if failed:
-            return Refused(frozenset(failed), self.turn)
-        self.turn += 1
+            return ConditionFailed(frozenset(failed), self.revision)
+        self.revision += 1
         for write in writes:
             if isinstance(write, Put):
-                self.marks[write.key] = self.turn
+                self.mod_revisions[write.key] = self.revision
             else:
-                del self.marks[write.key]
+                del self.mod_revisions[write.key]
         if fate == "answer lost":
-            raise Unknown("timed out")
-        return Committed(self.turn)
+            raise OutcomeUnknownError("timed out")
+        return Committed(self.revision)
 
     async def get(self, key):
         value = self.values.get(key, msgspec.Raw(b"{}"))
-        return Entry(key, value, self.marks[key]) if key in self.marks else None
+        return Entry(key, value, self.mod_revisions[key]) if key in self.mod_revisions else None
 
 
 def record(store, tasks):
     """A cluster with that many tasks placed, and a recorder that has been given time."""
     cluster, clock, deposed = make_cluster(), ManualClock(), []
     cluster.teams = {}
-    cluster.take_job(JobRecord("open", spec(tasks=tasks), 256), 1)
-    cluster.report(Report("n-0000000231", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
-    cluster.apply(Plan(starts=[Start("job-1", index, "n-0000000231") for index in range(tasks)]), clock.now())
-    recorder = Recorder(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, deposed.append)
+    cluster.observe_job(JobRecord("open", spec(tasks=tasks), 256), 1)
+    cluster.on_heartbeat(Heartbeat("n-0000000231", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
+    cluster.apply_plan(
+        Plan(placements=[Placement("job-1", index, "n-0000000231") for index in range(tasks)]), clock.now()
+    )
+    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, deposed.append)
     recorder.start()
     for _ in range(50):
         clock.advance(seconds(0.1))
@@ -83,7 +93,7 @@
 
 
 def recorded(cluster):
-    return sum(assignment.recorded for assignment in cluster.jobs["job-1"].placed.values())
+    return sum(assignment.is_recorded for assignment in cluster.jobs["job-1"].placed.values())
 
 
 def test_a_transaction_stays_within_the_services_size():
@@ -99,29 +109,29 @@
 def test_what_was_lost_is_recorded_in_the_end(fates):
     store = Store(fates)
     cluster, deposed = record(store, 3)
-    assert recorded(cluster) == 3 and not deposed and chunk_key("job-1", 0) in store.marks
+    assert recorded(cluster) == 3 and not deposed and range_key("job-1", 0) in store.mod_revisions
 
 
 def test_nothing_of_an_aborted_job_is_recorded_as_placed():
     store = Store()
-    store.marks[job_key("job-1")] = 9
+    store.mod_revisions[job_key("job-1")] = 9
     cluster, deposed = record(store, 3)
-    assert recorded(cluster) == 0 and not deposed and chunk_key("job-1", 0) not in store.marks
+    assert recorded(cluster) == 0 and not deposed and range_key("job-1", 0) not in store.mod_revisions
 
 
 def test_a_deposed_leader_writes_nothing():
     store = Store()
-    store.marks[LEADER] = 6
+    store.mod_revisions[LEADER] = 6
     cluster, deposed = record(store, 3)
-    assert recorded(cluster) == 0 and deposed and chunk_key("job-1", 0) not in store.marks
+    assert recorded(cluster) == 0 and deposed and range_key("job-1", 0) not in store.mod_revisions
 
 
 def test_a_refused_job_record_is_read_not_waited_for():
     """Every batch with a start of the job was refused until the replica told of the abort: with a watch held
     up for seconds, no start of any job was recorded."""
     store = Store()
-    store.marks[job_key("job-1")] = 9
-    store.values[job_key("job-1")] = raw(JobRecord("aborted", spec(tasks=3), 256))
+    store.mod_revisions[job_key("job-1")] = 9
+    store.values[job_key("job-1")] = encode_value(JobRecord("aborted", spec(tasks=3), 256))
     cluster, deposed = record(store, 3)
     assert "job-1" not in cluster.jobs and not deposed and len(store.sizes) == 1
 
@@ -130,22 +140,24 @@
     """What is left of a job's chunks in the store; it is aborted at that time, and its machine gone."""
     cluster, clock = make_cluster(), ManualClock()
     cluster.teams = {}
-    cluster.take_job(JobRecord("open", spec(tasks=tasks), 256), 1)
-    cluster.report(Report("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
-    cluster.apply(Plan(starts=[Start("job-1", index, "n-1") for index in range(tasks)]), clock.now())
-    recorder = Recorder(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, lambda reason: None)
+    cluster.observe_job(JobRecord("open", spec(tasks=tasks), 256), 1)
+    cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
+    cluster.apply_plan(
+        Plan(placements=[Placement("job-1", index, "n-1") for index in range(tasks)]), clock.now()
+    )
+    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, lambda reason: None)
     recorder.start()
     clock.advance(seconds(at_s))
-    store.marks[job_key("job-1")] = 90
-    store.values[job_key("job-1")] = raw(JobRecord("aborted", spec(tasks=tasks), 256))
-    cluster.take_job(JobRecord("aborted", spec(tasks=tasks), 256), 90)
-    cluster.machine_gone("n-1", "test")
+    store.mod_revisions[job_key("job-1")] = 90
+    store.values[job_key("job-1")] = encode_value(JobRecord("aborted", spec(tasks=tasks), 256))
+    cluster.observe_job(JobRecord("aborted", spec(tasks=tasks), 256), 90)
+    cluster.on_machine_terminated("n-1", "test")
     recorder.wake()
     for _ in range(50):
         clock.advance(seconds(0.1))
         recorder.wake()
     assert not cluster.jobs
-    return [key for key in store.marks if key.startswith(TASKS)]
+    return [key for key in store.mod_revisions if key.startswith(TASK_RANGES)]
 
 
 def test_a_chunk_whose_write_had_no_answer_is_not_left_behind_by_an_abort():
@@ -159,16 +171,16 @@
 def test_each_chunk_of_a_job_that_is_over_is_removed_once():
     """Each of its chunks asked for the removal of all: three chunks were nine changes of the store."""
     store, removed = Store(), []
-    carry = store.txn
+    carry = store.compare_and_swap
 
-    async def txn(when, writes, urgent=False):
+    async def compare_and_swap(conditions, writes, urgent=False):
         removed.extend(write.key for write in writes if not isinstance(write, Put))
         assert len({write.key for write in writes if not isinstance(write, Put)}) == sum(
             not isinstance(write, Put) for write in writes
         )
-        return await carry(when, writes, urgent)
+        return await carry(conditions, writes, urgent)
 
-    store.txn = txn
+    store.compare_and_swap = compare_and_swap
     assert aborted(store, 600, 1) == []
     assert len(removed) == 3
 
@@ -177,24 +189,24 @@
     """The user was told that the job is cancelled; the leader has just seen its last task done."""
     store = Store()
     cluster, clock = make_cluster(), ManualClock()
-    cluster.take_job(JobRecord("open", spec(tasks=1), 256), 1)
-    cluster.load_chunk("job-1", 0, Chunk(done=[(0, 0)]), clock.now())
-    cluster.loaded()
-    store.marks[job_key("job-1")] = 9
-    store.values[job_key("job-1")] = raw(JobRecord("aborted", spec(tasks=1), 256))
-    Recorder(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, lambda reason: None).start()
+    cluster.observe_job(JobRecord("open", spec(tasks=1), 256), 1)
+    cluster.load_range("job-1", 0, TaskRangeRecord(done=[(0, 0)]), clock.now())
+    cluster.finish_loading()
+    store.mod_revisions[job_key("job-1")] = 9
+    store.values[job_key("job-1")] = encode_value(JobRecord("aborted", spec(tasks=1), 256))
+    StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, lambda reason: None).start()
     clock.advance(seconds(1))
-    assert store.marks[job_key("job-1")] == 9 and not cluster.jobs
+    assert store.mod_revisions[job_key("job-1")] == 9 and not cluster.jobs
 
 
 def finished_elsewhere():
     """A cluster with a start that waits for its record while the record says that the job is done."""
     cluster, clock = make_cluster(), ManualClock()
     cluster.teams = {}
-    cluster.take_job(JobRecord("open", spec(tasks=1), 256), 1)
-    cluster.report(Report("n-0000000231", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
-    cluster.apply(Plan(starts=[Start("job-1", 0, "n-0000000231")]), clock.now())
-    cluster.take_job(JobRecord("done", spec(tasks=1), 256), 4)
+    cluster.observe_job(JobRecord("open", spec(tasks=1), 256), 1)
+    cluster.on_heartbeat(Heartbeat("n-0000000231", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
+    cluster.apply_plan(Plan(placements=[Placement("job-1", 0, "n-0000000231")]), clock.now())
+    cluster.observe_job(JobRecord("done", spec(tasks=1), 256), 4)
     return cluster
 
 
@@ -203,15 +215,15 @@
     What was placed meanwhile is never recorded or sent, and held its room and its team's limit for good."""
     cluster = finished_elsewhere()
     assert not cluster.machines["n-0000000231"].placed
-    batch = cluster.collect(9, {})
-    assert batch.size == 0 and list(batch.over) == ["job-1"]
+    batch = cluster.collect_writes(9, {})
+    assert batch.size == 0 and list(batch.finished_jobs) == ["job-1"]
 
 
 def test_an_abort_told_after_the_job_was_forgotten_is_forgotten_too():
     cluster = make_cluster()
-    cluster.take_job(JobRecord("aborted", spec(tasks=1), 256), 4)
-    assert list(cluster.collect(9, {}).over) == ["job-1"]
-    cluster.forget("job-1")
+    cluster.observe_job(JobRecord("aborted", spec(tasks=1), 256), 4)
+    assert list(cluster.collect_writes(9, {}).finished_jobs) == ["job-1"]
+    cluster.forget_job("job-1")
     assert not cluster.jobs
 
 
@@ -226,19 +238,19 @@
         story = self.story
         fate = story.fates.pop(0) if story.fates else "ok"
         if fate == "refused":
-            return Response(503, b"{}")
+            return ClientResponse(503, b"{}")
         if fate == "late":
             if method == "POST":
                 story.late.append((method, path, body))
-            raise NoAnswer("timed out")
-        answer = Response(*story.service.handle(method, path, body or b""))
+            raise NoResponseError("timed out")
+        answer = ClientResponse(*story.service.handle(method, path, body or b""))
         if answer.status == 400:
             # By each process: it does not know what the one before was refused.
             refused = (story.token, msgspec.json.encode(msgspec.json.decode(body)["writes"]))
             assert refused not in story.too_large, "repeated unchanged"
             story.too_large.append(refused)
         if fate == "answer lost":
-            raise NoAnswer("timed out")
+            raise NoResponseError("timed out")
         if fate == "slow":
             waiter = Deferred()
             story.clock.later(seconds(1), waiter.callback, None)
@@ -270,7 +282,7 @@
         self.service = StateService(self.clock)
         self.fates, self.late, self.told, self.too_large = [], [], 0, []
         self.machines = {name: {} for name in ("n-1", "n-2")}
-        self.sessions = dict.fromkeys(self.machines, 1)
+        self.incarnations = dict.fromkeys(self.machines, 1)
         self.tallies = dict.fromkeys(self.machines, 0)
         self.tokens = dict.fromkeys(self.machines, 0)
         self.done, self.given, self.final = set(), {}, {}
@@ -286,14 +298,17 @@
         return {key: value for key, (value, _, _) in self.service.keys.items() if key.startswith(prefix)}
 
     def entries(self):
-        return [Entry(key, raw(value), mark) for key, (value, mark, _) in sorted(self.service.keys.items())]
+        return [
+            Entry(key, encode_value(value), mod_revision)
+            for key, (value, mod_revision, _) in sorted(self.service.keys.items())
+        ]
 
     def lead(self):
         if self.recorder is not None:
             self.recorder.stop()
         self.token += 1
         self.write(LEADER, {})
-        term = Term(self.token, self.service.turn, 1)
+        term = Term(self.token, self.service.revision, 1)
         client = StateClient(Line(self), "", self.clock, self.LIMITS, 1, seconds(1))
         leader = Leader(
             term,
@@ -306,11 +321,11 @@
         )
         self.cluster = make_cluster()
         self.cluster.token = self.token
-        marks = leader._read(self.cluster, self.entries(), self.clock.now())
-        self.cluster.loaded()
+        mod_revisions = leader._load_records(self.cluster, self.entries(), self.clock.now())
+        self.cluster.finish_loading()
         self.deposed = []
-        self.recorder = Recorder(
-            self.cluster, client, self.clock, term, marks, lambda: None, self.deposed.append
+        self.recorder = StateWriter(
+            self.cluster, client, self.clock, term, mod_revisions, lambda: None, self.deposed.append
         )
         self.recorder.start()
 
@@ -330,28 +345,28 @@
         changes = [change for change in self.service.log if change.get("set", "").startswith(JOBS)]
         for change in changes[self.told : self.told + most]:
             record = msgspec.convert(change["v"], JobRecord)
-            self.cluster.take_job(record, change["mark"], self.clock.now())
+            self.cluster.observe_job(record, change["mark"], self.clock.now())
             self.told += 1
         self.recorder.wake()
 
     @rule(machine=ANY_MACHINE)
     def report(self, machine):
         self.tallies[machine] += 1
-        tasks = [TaskReport(*key, *how) for key, how in self.machines[machine].items()]
-        report = Report(
-            machine, "x:1", "m", "z", True, self.sessions[machine], self.tallies[machine],
+        tasks = [TaskStatus(*key, *how) for key, how in self.machines[machine].items()]
+        report = Heartbeat(
+            machine, "x:1", "m", "z", True, self.incarnations[machine], self.tallies[machine],
             self.tokens[machine], tasks,
         )  # fmt: skip
-        orders = self.cluster.report(report, self.clock.now(), True)
+        orders = self.cluster.on_heartbeat(report, self.clock.now(), True)
         self.tokens[machine] = self.token
         for order in orders:
             key, there = (order.task, order.attempt), self.machines[machine]
-            if order.verb == "start" and key not in there:
+            if order.operation == "start" and key not in there:
                 assert self.given.setdefault(key, machine) == machine, "an attempt given twice"
                 there[key] = ("exited", "done") if order.task in self.done else ("running",)
-            elif order.verb == "stop" and there.get(key) == ("running",):
+            elif order.operation == "stop" and there.get(key) == ("running",):
                 there[key] = ("exited", "halted")
-            elif order.verb == "clear" and key in there:
+            elif order.operation == "clear" and key in there:
                 assert there[key][0] == "exited"
                 del there[key]
         self.recorder.wake()
@@ -363,8 +378,8 @@
         self.report(to)
         self.fates = fates
         if job in self.cluster.jobs:
-            starts = [Start(job, index, to) for index in sorted(indices) if index < self.SIZES[job]]
-            self.cluster.apply(Plan(starts=starts), self.clock.now())
+            starts = [Placement(job, index, to) for index in sorted(indices) if index < self.SIZES[job]]
+            self.cluster.apply_plan(Plan(placements=starts), self.clock.now())
             self.wait(0.01)
             self.report(to)
 
@@ -381,7 +396,7 @@
     @rule(machine=ANY_MACHINE)
     def lease_ends(self, machine):
         self.machines[machine].clear()
-        self.sessions[machine] += 1
+        self.incarnations[machine] += 1
         self.tallies[machine] = 0
 
     @rule(job=ANY_JOB, chance=st.integers(0, 3))
@@ -389,8 +404,8 @@
         if chance < 3:
             return
         record = msgspec.convert(self.service.keys[job_key(job)][0], JobRecord)
-        if record.stage == "open":
-            self.write(job_key(job), JobRecord("aborted", record.spec, record.chunk))
+        if record.state == "open":
+            self.write(job_key(job), JobRecord("aborted", record.spec, record.range_size))
 
     @rule(chance=st.integers(0, 3))
     def another_leads(self, chance):
@@ -410,9 +425,9 @@
     @invariant()
     def what_is_final_stays_and_is_true(self):
         for job, tasks in self.SIZES.items():
-            stage = self.service.keys[job_key(job)][0]["stage"]
-            assert self.final.setdefault(job, stage) == stage if stage != "open" else job not in self.final
-            if stage == "done":
+            state = self.service.keys[job_key(job)][0]["stage"]
+            assert self.final.setdefault(job, state) == state if state != "open" else job not in self.final
+            if state == "done":
                 assert all(f"{job}/{index}" in self.done for index in range(tasks))
 
     def settle(self):
@@ -429,19 +444,25 @@
         self.settle()
         assert not self.deposed
         for job in self.cluster.jobs.values():
-            for first in [*job.pieces.chunks, *job.pieces.parts]:
-                key = job.pieces.key(job.id, first)
+            for first in [*job.ranges.range_starts, *job.ranges.overflow_starts]:
+                key = job.ranges.key(job.id, first)
                 stored = self.stored(key).get(key)
-                chunk = None if stored is None else msgspec.json.decode(raw(stored), type=Chunk)
-                end = job.pieces.end(first)
-                if job.pieces.is_part(first) or job.pieces.is_part(end):
+                chunk = (
+                    None
+                    if stored is None
+                    else msgspec.json.decode(encode_value(stored), type=TaskRangeRecord)
+                )
+                end = job.ranges.end(first)
+                if job.ranges.is_overflow(first) or job.ranges.is_overflow(end):
                     # What lies beyond the next part's start is stale; a part stays though it is empty.
-                    assert (chunk or Chunk()).clipped(first, end) == (job.encode(first) or Chunk())
+                    assert (chunk or TaskRangeRecord()).restricted_to(first, end) == (
+                        job.encode_range(first) or TaskRangeRecord()
+                    )
                 else:
-                    assert chunk == job.encode(first)
+                    assert chunk == job.encode_range(first)
         for _ in range(3):
             for job in list(self.cluster.jobs.values()):
-                self.place(job.id, job.waiting(self.AT_ONCE), "n-1", [])
+                self.place(job.id, job.waiting_tasks(self.AT_ONCE), "n-1", [])
             self.settle()
             for machine in self.machines:
                 self.tasks_end(machine, [], self.AT_ONCE)
@@ -451,7 +472,7 @@
         self.lead()
         self.settle()
         assert self.final.keys() == self.SIZES.keys() and not self.cluster.jobs
-        assert not self.stored(TASKS) and not self.stored(PARTS)
+        assert not self.stored(TASK_RANGES) and not self.stored(OVERFLOW_RANGES)
         assert not any(self.machines.values())
 
 
@@ -463,24 +484,24 @@
     """One batch that broke the recorder used to end it, and with it every start of every job."""
 
     class Breaks(Store):
-        async def txn(self, when, writes, urgent=False):
-            if any(condition.key == job_key("job-1") for condition in when):
+        async def compare_and_swap(self, conditions, writes, urgent=False):
+            if any(condition.key == job_key("job-1") for condition in conditions):
                 raise ZeroDivisionError
-            return await super().txn(when, writes, urgent)
+            return await super().compare_and_swap(conditions, writes, urgent)
 
     store, clock, cluster = Breaks(), ManualClock(), make_cluster()
     cluster.teams = {}
     starts = []
     for number in (1, 2, 3):
         name = f"job-{number}"
-        cluster.take_job(JobRecord("open", msgspec.structs.replace(spec(tasks=1), id=name), 256), 1)
-        store.marks[job_key(name)] = 1
-        starts.append(Start(name, 0, "n-1"))
-    cluster.report(Report("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
-    cluster.apply(Plan(starts=starts), clock.now())
-    recorder = Recorder(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, lambda reason: None)
+        cluster.observe_job(JobRecord("open", msgspec.structs.replace(spec(tasks=1), id=name), 256), 1)
+        store.mod_revisions[job_key(name)] = 1
+        starts.append(Placement(name, 0, "n-1"))
+    cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
+    cluster.apply_plan(Plan(placements=starts), clock.now())
+    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, lambda reason: None)
     recorder.start()
     clock.advance(seconds(20))
-    written = {name: job.placed[0].recorded for name, job in cluster.jobs.items()}
+    written = {name: job.placed[0].is_recorded for name, job in cluster.jobs.items()}
     assert written == {"job-1": False, "job-2": True, "job-3": True}
-    assert recorder.stalled is None
+    assert recorder.stall_reason is None
--- a/spindleglade/workers/test_recorder_errors.py
+++ b/spindleglade/workers/test_recorder_errors.py
@@ -3,14 +3,14 @@
 
 import pytest
 
-from spindleglade.backfill.snapshot import Plan, Start
+from spindleglade.backfill.snapshot import Placement, Plan
 from spindleglade.clock import ManualClock, seconds
 from spindleglade.leadership.election import Term
-from spindleglade.store.client import Put, TooLarge, raw
-from spindleglade.submissions.records import JobRecord, chunk_key, job_key
+from spindleglade.store.client import Put, ValueTooLargeError, encode_value
+from spindleglade.submissions.records import JobRecord, job_key, range_key
 from spindleglade.workers.attempts import DONE
-from spindleglade.workers.messages import Report
-from spindleglade.workers.recorder import Recorder
+from spindleglade.workers.messages import Heartbeat
+from spindleglade.workers.recorder import StateWriter
 from spindleglade.workers.test_cluster import TOKEN, make_cluster, spec
 from spindleglade.workers.test_recorder import Store
 
@@ -37,58 +37,66 @@
     """A cluster with something of each kind to record, and the store that holds its jobs."""
     cluster, store, now = make_cluster(), Store(), ManualClock().now()
     cluster.teams = {}
-    for mark, job in enumerate((*STARTING, ENDED, OVER), 1):
+    for mod_revision, job in enumerate((*STARTING, ENDED, OVER), 1):
         record = JobRecord("aborted" if job == OVER else "open", spec(job, 1), 8)
-        cluster.take_job(record, mark)
-        store.marks[job_key(job)] = mark
-        store.values[job_key(job)] = raw(record)
-    cluster.report(Report("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), now, True)
-    cluster.apply(Plan(starts=[Start(job, 0, "n-1") for job in STARTING]), now)
+        cluster.observe_job(record, mod_revision)
+        store.mod_revisions[job_key(job)] = mod_revision
+        store.values[job_key(job)] = encode_value(record)
+    cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), now, True)
+    cluster.apply_plan(Plan(placements=[Placement(job, 0, "n-1") for job in STARTING]), now)
     ended = cluster.jobs[ENDED]
-    ended.state[0], ended.done = DONE, 1
-    cluster._changed(ended, 0)
-    marks = {chunk_key(OVER, 0): 9}
-    store.marks |= marks
-    return cluster, store, marks
+    ended.task_states[0], ended.done = DONE, 1
+    cluster._mark_task_changed(ended, 0)
+    mod_revisions = {range_key(OVER, 0): 9}
+    store.mod_revisions |= mod_revisions
+    return cluster, store, mod_revisions
 
 
 @pytest.mark.parametrize("at", [1, 2])
-@pytest.mark.parametrize("step", ["committed", "finished", "forget", "learn", "told"])
+@pytest.mark.parametrize(
+    "step", ["on_range_committed", "on_job_recorded_done", "forget_job", "observe", "on_committed"]
+)
 def test_a_batch_that_breaks_after_its_answer_is_recorded_in_the_end(step, at):
-    cluster, store, marks = batch_of_each_kind()
+    cluster, store, mod_revisions = batch_of_each_kind()
     clock, deposed = ManualClock(), []
-    learn, told = Breaks(lambda key, value, mark: None, 0), Breaks(lambda: None, 0)
+    learn, told = Breaks(lambda key, value, mod_revision: None, 0), Breaks(lambda: None, 0)
     breaking = Breaks(None, at)
-    if step in ("committed", "finished", "forget"):
+    if step in ("on_range_committed", "on_job_recorded_done", "forget_job"):
         breaking._call = getattr(cluster, step)
         setattr(cluster, step, breaking)
-    elif step == "learn":
-        learn = breaking = Breaks(lambda key, value, mark: None, at)
+    elif step == "observe":
+        learn = breaking = Breaks(lambda key, value, mod_revision: None, at)
     else:
         told = breaking = Breaks(lambda: None, at)
-    recorder = Recorder(cluster, store, clock, Term(TOKEN, 5, 1), marks, told, deposed.append, learn)
+    recorder = StateWriter(
+        cluster, store, clock, Term(TOKEN, 5, 1), mod_revisions, told, deposed.append, learn
+    )
     recorder.start()
     for _ in range(100):
         clock.advance(seconds(0.1))
-    assert all(cluster.jobs[job].placed[0].recorded for job in STARTING)
-    assert not cluster.jobs.keys() & {ENDED, OVER} and not cluster.dirty and not deposed
+    assert all(cluster.jobs[job].placed[0].is_recorded for job in STARTING)
+    assert not cluster.jobs.keys() & {ENDED, OVER} and not cluster.pending_writes and not deposed
     # What it holds for the store's is what the store has.
-    assert marks == {key: mark for key, mark in store.marks.items() if key.startswith("sg/task/")}
-    assert marks.keys() == {chunk_key(job, 0) for job in STARTING}
+    assert mod_revisions == {
+        key: mod_revision for key, mod_revision in store.mod_revisions.items() if key.startswith("sg/task/")
+    }
+    assert mod_revisions.keys() == {range_key(job, 0) for job in STARTING}
 
 
 def test_an_error_while_a_refusal_is_looked_into_loses_nothing():
-    cluster, store, marks = batch_of_each_kind()
+    cluster, store, mod_revisions = batch_of_each_kind()
     # The store has a newer chunk than the recorder knows of: its write had no answer.
-    store.marks[chunk_key("job-2", 0)] = 8
+    store.mod_revisions[range_key("job-2", 0)] = 8
     store.get = Breaks(store.get, 1)
     clock, deposed = ManualClock(), []
-    recorder = Recorder(cluster, store, clock, Term(TOKEN, 5, 1), marks, lambda: None, deposed.append)
+    recorder = StateWriter(
+        cluster, store, clock, Term(TOKEN, 5, 1), mod_revisions, lambda: None, deposed.append
+    )
     recorder.start()
     for _ in range(100):
         clock.advance(seconds(0.1))
     assert store.get.count > 1 and not deposed
-    assert all(cluster.jobs[job].placed[0].recorded for job in STARTING)
+    assert all(cluster.jobs[job].placed[0].is_recorded for job in STARTING)
 
 
 class LoweringStore(Store):
@@ -99,32 +107,32 @@
         self._refused_key = refused_key
         self.sent = []
 
-    async def txn(self, when, writes, urgent=False):
+    async def compare_and_swap(self, conditions, writes, urgent=False):
         self.sent.append(tuple((write.key, bytes(write.value)) for write in writes if isinstance(write, Put)))
         if any(write.key == self._refused_key for write in writes if isinstance(write, Put)):
             self.value_bytes = 20
-            raise TooLarge("400")
-        return await super().txn(when, writes, urgent)
+            raise ValueTooLargeError("400")
+        return await super().compare_and_swap(conditions, writes, urgent)
 
 
 def test_a_value_that_cannot_be_made_smaller_is_never_sent_twice_unchanged():
     """One task is no longer than it is: collected anew under the lower limit the value is the same."""
-    cluster, store, clock = make_cluster(), LoweringStore(chunk_key("job-1", 0)), ManualClock()
+    cluster, store, clock = make_cluster(), LoweringStore(range_key("job-1", 0)), ManualClock()
     cluster.teams = {}
-    cluster.take_job(JobRecord("open", spec("job-1", 1), 8), 1)
-    cluster.report(Report("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
-    cluster.apply(Plan(starts=[Start("job-1", 0, "n-1")]), clock.now())
-    recorder = Recorder(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, str)
+    cluster.observe_job(JobRecord("open", spec("job-1", 1), 8), 1)
+    cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
+    cluster.apply_plan(Plan(placements=[Placement("job-1", 0, "n-1")]), clock.now())
+    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, str)
     recorder.start()
     for _ in range(100):
         clock.advance(seconds(0.1))
     assert len(store.sent) == 1
     # What comes after it is recorded all the same.
-    cluster.take_job(JobRecord("open", spec("job-2", 1), 8), 2)
-    store.marks[job_key("job-2")] = 2
-    cluster.report(Report("n-1", "x:1", "m", "z", True, 1, 2, TOKEN, []), clock.now(), True)
-    cluster.apply(Plan(starts=[Start("job-2", 0, "n-1")]), clock.now())
+    cluster.observe_job(JobRecord("open", spec("job-2", 1), 8), 2)
+    store.mod_revisions[job_key("job-2")] = 2
+    cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 2, TOKEN, []), clock.now(), True)
+    cluster.apply_plan(Plan(placements=[Placement("job-2", 0, "n-1")]), clock.now())
     recorder.wake()
     for _ in range(100):
         clock.advance(seconds(0.1))
-    assert cluster.jobs["job-2"].placed[0].recorded and len(store.sent) == len(set(store.sent))
+    assert cluster.jobs["job-2"].placed[0].is_recorded and len(store.sent) == len(set(store.sent))
--- a/spindleglade/workers/test_reports.py
+++ b/spindleglade/workers/test_reports.py
@@ -9,14 +9,14 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 
 from spindleglade.clock import ManualClock, seconds
-from spindleglade.store.client import raw
-from spindleglade.submissions.records import Chunk, JobRecord, Placement, chunk_key, job_key
+from spindleglade.store.client import encode_value
+from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, job_key, range_key
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.api import WorkerApi
-from spindleglade.workers.balancer import Load, ReportBalancer, Solitude
-from spindleglade.workers.cancellation_bound import CancellationBound
-from spindleglade.workers.messages import Report, decode_report
-from spindleglade.workers.relay import Relays
+from spindleglade.workers.balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
+from spindleglade.workers.cancellation_bound import CancellationFreshness
+from spindleglade.workers.messages import Heartbeat, decode_heartbeat
+from spindleglade.workers.relay import HeartbeatRelay
 from spindleglade.workers.test_cluster import spec
 
 LEASE, REPORT = seconds(10), seconds(1)
@@ -37,17 +37,17 @@
         self.api = WorkerApi(
             self.clock,
             self.views,
-            CancellationBound(self.clock, seconds(17), lambda: self.proven),
+            CancellationFreshness(self.clock, seconds(17), lambda: self.proven),
             lambda report: None,
             lambda: False,
             relay,
             lambda token: None,
-            ReportBalancer(self.clock, REPORT, 2, LEASE),
-            Solitude(self.clock, zone, LEASE, lambda: self.since),
+            HeartbeatBalancer(self.clock, REPORT, 2, LEASE),
+            IsolationDetector(self.clock, zone, LEASE, lambda: self.since),
         )
 
-    def report(self, tally, machine="n-1", zone="a", session=1):
-        report = Report(machine, "x:1", "m", zone, True, session, tally, 7, [])
+    def report(self, sequence, machine="n-1", zone="a", incarnation=1):
+        report = Heartbeat(machine, "x:1", "m", zone, True, incarnation, sequence, 7, [])
         got = []
         body = msgspec.json.encode(report)
         ensureDeferred(self.api.handle("POST", "/v1/report", body)).addCallback(got.append)
@@ -57,11 +57,11 @@
 def test_a_late_copy_of_a_report_renews_no_lease_and_vouches_for_nobody():
     """A dead machine whose reports came once more was told of as living, and its tasks waited."""
     node = Node()
-    assert node.report(5) == 200 and node.api.alone == {"n-1": timedelta(0)}
+    assert node.report(5) == 200 and node.api.renewed_without_leader == {"n-1": timedelta(0)}
     node.clock.advance(seconds(8))
     assert node.report(5) == 503 and node.report(4) == 503
-    assert node.api.alone == {"n-1": timedelta(0)}
-    assert node.report(1, session=2) == 200
+    assert node.api.renewed_without_leader == {"n-1": timedelta(0)}
+    assert node.report(1, incarnation=2) == 200
 
 
 def test_a_node_renews_only_for_so_long_after_its_last_proof():
@@ -81,28 +81,30 @@
     then. The worker's reports show nothing of it, but the record that came before it does."""
     node = Node()
 
-    def tell(stage, chunk):
-        view = raw(JobRecord(stage, spec("job-1"), 2))
-        node.views.listener(job_key("job-1"), view, 1)
-        node.views.listener(chunk_key("job-1", 0), chunk and raw(chunk), 2)
+    def tell(state, chunk):
+        view = encode_value(JobRecord(state, spec("job-1"), 2))
+        node.views.on_change(job_key("job-1"), view, 1)
+        node.views.on_change(range_key("job-1", 0), chunk and encode_value(chunk), 2)
 
-    placed = Chunk(placed={0: Placement(1, "n-1", 1)})
+    placed = TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)})
     tell("open", placed)
     assert node.report(1) == 200
     tell("aborted", placed)
     assert node.report(2) == 503
     # Another machine, and another session of this one, which such a start cannot reach.
-    assert node.report(3, "n-2") == 200 and node.report(1, session=2) == 200
+    assert node.report(3, "n-2") == 200 and node.report(1, incarnation=2) == 200
     # The leader has recorded the proof that it is over.
     tell("aborted", None)
-    assert node.report(4, session=1) == 503 and node.report(5, session=2) == 200
-    node.views.listener(chunk_key("job-1", 0), raw(Chunk(placed={1: Placement(1, "n-1", 2)})), 3)
-    assert node.report(6, session=2) == 503
+    assert node.report(4, incarnation=1) == 503 and node.report(5, incarnation=2) == 200
+    node.views.on_change(
+        range_key("job-1", 0), encode_value(TaskRangeRecord(placed={1: StoredAttempt(1, "n-1", 2)})), 3
+    )
+    assert node.report(6, incarnation=2) == 503
 
 
 def test_a_report_nested_too_deeply_is_malformed():
     with pytest.raises(msgspec.DecodeError):
-        decode_report(b'{"x":' + b"[" * 30_000)
+        decode_heartbeat(b'{"x":' + b"[" * 30_000)
 
 
 def test_a_node_that_is_cut_off_alone_sends_workers_on_once():
@@ -126,15 +128,15 @@
 @given(st.lists(st.integers(0, 400), min_size=2, max_size=2), st.integers(0, 400), st.booleans())
 def test_workers_are_sent_only_to_siblings_that_have_less(others, own, leads):
     clock = ManualClock()
-    spread = ReportBalancer(clock, REPORT, 2, LEASE)
-    loads = [Load(f"n-{at}", count, False) for at, count in enumerate(others)]
-    spread.weigh(Load("me", own, leads), loads)
+    spread = HeartbeatBalancer(clock, REPORT, 2, LEASE)
+    loads = [ControllerLoad(f"n-{at}", count, False) for at, count in enumerate(others)]
+    spread.rebalance(ControllerLoad("me", own, leads), loads)
     # Not at once: a sibling that has only just come back may go again.
-    assert spread.elsewhere("w-0") is None
+    assert spread.redirect_target("w-0") is None
     clock.advance(LEASE)
-    spread.weigh(Load("me", own, leads), loads)
-    sent = [spread.elsewhere(f"w-{at}") for at in range(own)]
-    got = {load.node: load.workers + sent.count(load.node) for load in loads}
+    spread.rebalance(ControllerLoad("me", own, leads), loads)
+    sent = [spread.redirect_target(f"w-{at}") for at in range(own)]
+    got = {load.controller: load.workers + sent.count(load.controller) for load in loads}
     left = own - sum(node is not None for node in sent)
     for node, workers in got.items():
         if node in sent:
@@ -142,18 +144,18 @@
     if all(count >= own for count in others) and not leads:
         assert set(sent) <= {None}
     # A sibling that is away: nobody is moved.
-    spread.weigh(Load("me", own, leads), loads[:1])
-    assert spread.elsewhere("w-x") is None
+    spread.rebalance(ControllerLoad("me", own, leads), loads[:1])
+    assert spread.redirect_target("w-x") is None
 
 
 def test_a_worker_that_came_back_is_left_in_peace():
     clock = ManualClock()
-    spread = ReportBalancer(clock, REPORT, 1, LEASE)
+    spread = HeartbeatBalancer(clock, REPORT, 1, LEASE)
     for _ in range(2):
-        spread.weigh(Load("me", 100, False), [Load("other", 0, False)])
+        spread.rebalance(ControllerLoad("me", 100, False), [ControllerLoad("other", 0, False)])
         clock.advance(LEASE)
-    spread.weigh(Load("me", 100, False), [Load("other", 0, False)])
-    assert spread.elsewhere("w-1") == "other" and spread.elsewhere("w-1") is None
+    spread.rebalance(ControllerLoad("me", 100, False), [ControllerLoad("other", 0, False)])
+    assert spread.redirect_target("w-1") == "other" and spread.redirect_target("w-1") is None
 
 
 @given(st.lists(st.binary(max_size=5), min_size=1, max_size=8), st.sampled_from(["ok", "lost", "short"]))
@@ -165,7 +167,7 @@
         answers = [b"to " + report for report in gathered]
         return {"ok": answers, "lost": None, "short": answers[1:]}[fate]
 
-    relays, got = Relays(clock, seconds(0.02), carry), []
+    relays, got = HeartbeatRelay(clock, seconds(0.02), carry), []
     for at, report in enumerate(reports):
         waiting: Deferred = ensureDeferred(relays.send(report))
         waiting.addCallback(lambda answer, at=at: got.append((at, answer)))
@@ -179,7 +181,7 @@
 @given(st.binary(max_size=80))
 def test_a_malformed_report_is_answered_400(data):
     try:
-        decode_report(data)
+        decode_heartbeat(data)
     except (msgspec.DecodeError, UnicodeDecodeError):
         got = []
         node = Node()
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_splitting.py
@@ -6,20 +6,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
 
-from spindleglade.backfill.snapshot import Plan, Start
+from spindleglade.backfill.snapshot import Placement, Plan
 from spindleglade.clock import ManualClock, seconds
 from spindleglade.leader import Leader
 from spindleglade.leadership.election import LEADER, Term
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import NextStateLimits, StateLimits
 from spindleglade.store.client import StateClient
-from spindleglade.submissions.records import JobRecord, chunk_key, job_key
+from spindleglade.submissions.records import JobRecord, job_key, range_key
 from spindleglade.submissions.views import JobViews
 from spindleglade.test_leader import Learner
-from spindleglade.web import Response
+from spindleglade.web import ClientResponse
 from spindleglade.workers.attempts import DONE
-from spindleglade.workers.messages import Report, split_task
-from spindleglade.workers.recorder import Recorder
+from spindleglade.workers.messages import Heartbeat, split_task
+from spindleglade.workers.recorder import StateWriter
 from spindleglade.workers.test_cluster import TOKEN, make_cluster, spec
 from spindleglade.workers.test_recorder import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
 from tests.deployment import Deployment, platform
@@ -83,37 +83,37 @@
             JobViews(),
         )
         cluster = make_cluster()
-        leader._read(cluster, entries, self.clock.now())
+        leader._load_records(cluster, entries, self.clock.now())
         return cluster
 
     def follow(self):
         changes = [change for change in self.service.log if change["mark"] > self.followed]
-        self.followed = self.service.turn
+        self.followed = self.service.revision
         for change in changes:
             value = None if "remove" in change else msgspec.json.encode(change["v"])
-            self.views.listener(change.get("set") or change["remove"], value, change["mark"])
+            self.views.on_change(change.get("set") or change["remove"], value, change["mark"])
 
     def nothing_is_lost(self):
         self.follow()
         entries = self.entries()
         late_views = JobViews()
         for entry in reversed(entries):
-            late_views.listener(entry.key, bytes(entry.value), entry.mark)
+            late_views.on_change(entry.key, bytes(entry.value), entry.mod_revision)
         cluster = self.read(entries[::-1])
         for job in cluster.jobs.values():
             for views in (self.views, late_views):
-                if job.open:
+                if job.is_open:
                     view = views.jobs[job.id]
                     assert (view.done_count, view.running) == (job.done, len(job.placed))
-            if not job.open:
+            if not job.is_open:
                 continue
             for task, attempt in self.given:
                 name, index = split_task(task)
                 if name == job.id:
-                    assert job.state[index] == DONE or job.attempts.get(index, 0) >= attempt, task
+                    assert job.task_states[index] == DONE or job.attempts.get(index, 0) >= attempt, task
             for task in self.cleared:
                 name, index = split_task(task)
-                assert name != job.id or job.state[index] == DONE, task
+                assert name != job.id or job.task_states[index] == DONE, task
         self.placements_are_known(cluster)
 
     def placements_are_known(self, cluster):
@@ -123,8 +123,8 @@
                 if how == ("running",) and name in cluster.jobs:
                     placed = cluster.jobs[name].placed.get(index)
                     assert placed is not None and (placed.attempt, placed.machine) == (attempt, machine)
-                    if not cluster.jobs[name].open:
-                        assert self.views.may_get_aborted(machine, placed.session)
+                    if not cluster.jobs[name].is_open:
+                        assert self.views.may_run_cancelled_task(machine, placed.incarnation)
 
 
 TestSplittingStory = SplittingStory.TestCase
@@ -138,7 +138,7 @@
         self.service = service
 
     async def request(self, method, address, path, body=None, timeout=None):
-        return Response(*self.service.handle(method, path, body or b""))
+        return ClientResponse(*self.service.handle(method, path, body or b""))
 
 
 def placed(service, limits, machines):
@@ -149,13 +149,13 @@
     for number, machine in enumerate(machines):
         job = f"job-{number}"
         service._write([{"set": job_key(job), "v": msgspec.to_builtins(JobRecord("open", spec(job, 1), 8))}])
-        cluster.take_job(JobRecord("open", spec(job, 1), 8), service.turn)
-        cluster.report(Report(machine, "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
-        cluster.apply(Plan(starts=[Start(job, 0, machine)]), clock.now())
+        cluster.observe_job(JobRecord("open", spec(job, 1), 8), service.revision)
+        cluster.on_heartbeat(Heartbeat(machine, "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
+        cluster.apply_plan(Plan(placements=[Placement(job, 0, machine)]), clock.now())
     service._write([{"set": LEADER, "v": {}}])
     client = StateClient(Line(service), "", clock, limits, 1, seconds(1))
-    term = Term(TOKEN, service.turn, 1)
-    recorder = Recorder(cluster, client, clock, term, {}, lambda: None, lambda reason: None)
+    term = Term(TOKEN, service.revision, 1)
+    recorder = StateWriter(cluster, client, clock, term, {}, lambda: None, lambda reason: None)
     recorder.start()
     clock.advance(seconds(20))
     return cluster, recorder
@@ -168,16 +168,16 @@
     cluster, recorder = placed(
         service, StateLimits(1e4, 1e4, 16.0, 12, LOWER), ["n-1", "n-2", "n-3" + "x" * 600, "n-4", "n-5"]
     )
-    recorded = [all(at.recorded for at in cluster.jobs[f"job-{n}"].placed.values()) for n in range(5)]
+    recorded = [all(at.is_recorded for at in cluster.jobs[f"job-{n}"].placed.values()) for n in range(5)]
     assert recorded == [True, True, False, True, True]
     writes = [msgspec.json.encode(msgspec.json.decode(body)["writes"]) for body in service.too_large]
     # In two batches, of which the first might have been made smaller, and alone.
     assert len(set(writes)) == len(writes) == 3
     # It is tried again once it has changed.
-    cluster.machine_gone("n-3" + "x" * 600, "test")
+    cluster.on_machine_terminated("n-3" + "x" * 600, "test")
     recorder.wake()
     service.clock.advance(seconds(2))
-    assert chunk_key("job-2", 0) in service.keys and len(service.too_large) == 3
+    assert range_key("job-2", 0) in service.keys and len(service.too_large) == 3
 
 
 def test_a_transaction_refused_for_its_number_of_changes_is_taken_apart():
@@ -185,18 +185,18 @@
     service = StateService(ManualClock())
     service.lower_limits(16, 2)
     cluster, _ = placed(service, StateLimits(1e4, 1e4, 16.0, 12), [f"n-{number}" for number in range(9)])
-    assert all(at.recorded for job in cluster.jobs.values() for at in job.placed.values())
+    assert all(at.is_recorded for job in cluster.jobs.values() for at in job.placed.values())
 
 
 def recorded_job(tasks):
     """A cluster with a job all of whose tasks are placed and recorded in one value, and its mark."""
     cluster, now = make_cluster(), seconds(1)
     cluster.teams = {}
-    cluster.take_job(JobRecord("open", spec(tasks=tasks), 64), 1)
-    cluster.report(Report("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), now, True)
-    cluster.apply(Plan(starts=[Start("job-1", index, "n-1") for index in range(tasks)]), now)
-    (write,) = cluster.collect(9, {}).chunks
-    cluster.committed(write.job, write.first, write.version)
+    cluster.observe_job(JobRecord("open", spec(tasks=tasks), 64), 1)
+    cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), now, True)
+    cluster.apply_plan(Plan(placements=[Placement("job-1", index, "n-1") for index in range(tasks)]), now)
+    (write,) = cluster.collect_writes(9, {}).ranges
+    cluster.on_range_committed(write.job, write.first_task, write.version)
     return cluster, {write.key: 7}
 
 
@@ -204,30 +204,32 @@
     """Starts that may be on their way would be taken for never sent when their job is aborted."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
-    cluster._changed(job, 0)
-    assert cluster.collect(2, stored, value_bytes=460).size == 2 and job.pieces.parts
-    assert all(assignment.recorded for assignment in job.placed.values())
-    cluster.take_job(JobRecord("aborted", spec(tasks=40), 64), 9)
+    cluster._mark_task_changed(job, 0)
+    assert cluster.collect_writes(2, stored, value_bytes=460).size == 2 and job.ranges.overflow_starts
+    assert all(assignment.is_recorded for assignment in job.placed.values())
+    cluster.observe_job(JobRecord("aborted", spec(tasks=40), 64), 9)
     assert len(job.placed) == 40
 
 
 def test_a_part_of_an_aborted_job_is_written_only_while_its_chunk_is_as_it_was():
     """One that landed after the removal stayed for good, with placements."""
     cluster, stored = recorded_job(40)
-    cluster.take_job(JobRecord("aborted", spec(tasks=40), 64), 9)
-    cluster._changed(cluster.jobs["job-1"], 0)
-    writes = cluster.collect(2, stored, value_bytes=460).chunks
-    assert [write.first for write in writes] == [35, 28] and all(write.value for write in writes)
-    assert all(write.depends == chunk_key("job-1", 0) and write.job_mark is None for write in writes)
+    cluster.observe_job(JobRecord("aborted", spec(tasks=40), 64), 9)
+    cluster._mark_task_changed(cluster.jobs["job-1"], 0)
+    writes = cluster.collect_writes(2, stored, value_bytes=460).ranges
+    assert [write.first_task for write in writes] == [35, 28] and all(write.value for write in writes)
+    assert all(
+        write.required_key == range_key("job-1", 0) and write.job_mod_revision is None for write in writes
+    )
 
 
 def test_a_part_without_content_is_written_all_the_same():
     """Without it the stale entries of the value to its left would count for its tasks again."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
-    cluster._changed(job, 0)
+    cluster._mark_task_changed(job, 0)
     # The last tasks were never tried.
     for index in range(35, 40):
         job.placed.pop(index), job.attempts.pop(index)
-    (write,) = cluster.collect(1, stored, value_bytes=460).chunks
-    assert (write.first, bytes(write.value)) == (35, b"{}")
+    (write,) = cluster.collect_writes(1, stored, value_bytes=460).ranges
+    assert (write.first_task, bytes(write.value)) == (35, b"{}")
--- a/spindleglade/workers/views.py
+++ b/spindleglade/workers/views.py
@@ -2,25 +2,25 @@
 
 from datetime import timedelta
 
-from spindleglade.backfill.snapshot import JobView, MachineView, Running
-from spindleglade.workers.attempts import Job, Machine, MachineKind, estimate
+from spindleglade.backfill.snapshot import JobView, MachineView, RunningTask
+from spindleglade.workers.attempts import Job, Machine, MachineTypeCapacity, estimate
 
 # Of a machine whose type is not known.
-NO_KIND = MachineKind(0.0, 0.0, 0.0, 0.0, 1.0)
+UNKNOWN_TYPE = MachineTypeCapacity(0.0, 0.0, 0.0, 0.0, 1.0)
 
 
-def machine_view(machine: Machine, kind: MachineKind) -> MachineView:
+def machine_view(machine: Machine, kind: MachineTypeCapacity) -> MachineView:
     tasks = []
-    pulling = set()
+    fetching = set()
     for assignment in machine.placed.values():
         spec = assignment.job.spec
-        if assignment.stage == "pulling" and spec.image not in machine.images:
-            pulling.add(spec.image)
+        if assignment.state == "pulling" and spec.image not in machine.images:
+            fetching.add(spec.image)
         since = None
-        if assignment.stage == "running":
-            since = assignment.since or assignment.placed_at
+        if assignment.state == "running":
+            since = assignment.running_since or assignment.placed_at
         tasks.append(
-            Running(
+            RunningTask(
                 spec.id,
                 assignment.index,
                 spec.team,
@@ -31,8 +31,8 @@
                 estimate(spec),
                 since,
                 timedelta(seconds=spec.save_s) if spec.checkpoint_s > 0 else None,
-                assignment.stop is not None,
-                assignment.owed,
+                assignment.stop_reason is not None,
+                assignment.started_overdue,
             )
         )
     return MachineView(
@@ -46,7 +46,7 @@
         kind.pull_gb_per_s,
         tasks,
         set(machine.images),
-        pulling,
+        fetching,
     )
 
 
@@ -55,13 +55,13 @@
     machines: dict[str, Machine],
     room: float,
     overdue: bool,
-    barred: dict[int, set[str]],
-    trial: bool = False,
-    pressing: bool = False,
+    excluded_machines: dict[int, set[str]],
+    is_probe: bool = False,
+    is_urgent: bool = False,
 ) -> JobView:
     """`room`: CPUs that one round could at most fill."""
     spec = job.spec
-    most = 1 if trial else int(room / spec.cpus) + 1
+    most = 1 if is_probe else int(room / spec.cpus) + 1
     zones: dict[str, int] = {}
     if spec.one_zone or spec.spread:
         for assignment in job.placed.values():
@@ -73,7 +73,7 @@
         spec.team,
         spec.job_class,
         job.rank,
-        job.waiting(len(job.state) if spec.whole else most),
+        job.waiting_tasks(len(job.task_states) if spec.is_gang else most),
         spec.tasks,
         spec.cpus,
         spec.gpus,
@@ -87,10 +87,10 @@
         spec.spot,
         estimate(spec),
         zones,
-        spec.whole and not job.placed,
+        spec.is_gang and not job.placed,
         overdue,
-        frozenset(job.avoid),
-        barred,
-        trial,
-        pressing,
+        frozenset(job.avoided_machines),
+        excluded_machines,
+        is_probe,
+        is_urgent,
     )
--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -122,7 +122,8 @@
         done = sum(stage == "done" for stage in world.told.values())
         print(
             f"at {at_s:.0f} s: {machines} machines, {world.started} starts, {done} of {len(jobs)} jobs done, "
-            f"{len(world.state.keys)} keys, turn {world.state.turn}, {time.monotonic() - began:.0f} s real",
+            f"{len(world.state.keys)} keys, revision {world.state.revision}, "
+            f"{time.monotonic() - began:.0f} s real",
             flush=True,
         )
     waits = [(world.began[job] - world.sent[job]).total_seconds() for job in jobs if job in world.began]
--- a/tests/liveness.py
+++ b/tests/liveness.py
@@ -5,10 +5,9 @@
 
 from spindleglade.clock import seconds
 from tests.rules import OVER
-from tests.versions import is_proven
 
 if TYPE_CHECKING:
-    from spindleglade.app import Node
+    from spindleglade.app import Controller
     from tests.world import World
 
 # How long, once there is no trouble, no controller may lead that is entitled to start and to rent.
@@ -63,7 +62,7 @@
         )
 
     def _look_at_leader(self, now: timedelta) -> None:
-        leaders = [node for node in self._world.nodes.values() if node.leads]
+        leaders = [node for node in self._world.nodes.values() if node.is_leader]
         if any(map(_may_act, leaders)):
             self._led = now
         elif self._processes and now - max(self._quiet_since, self._led) > LEADS_WITHIN:
@@ -91,6 +90,10 @@
         self._world.broken.append(f"{what} at {self._world.clock.now()}")
 
 
-def _may_act(node: "Node") -> bool:
+def _may_act(node: "Controller") -> bool:
     """Whether the leader may start tasks, and rent and give back machines."""
-    return node.leader is not None and node._leaders_bound.holds and is_proven(node)
+    return (
+        node.leader is not None
+        and node._leader_cancellation_freshness.permits_renewals
+        and node.is_leadership_proven()
+    )
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 from twisted.web.server import Site
 
 from spindleglade.clock import ReactorClock, seconds
-from spindleglade.web import Answer, Endpoint, HttpClient, NoAnswer
+from spindleglade.web import HttpClient, HttpResponse, NoResponseError, RequestResource
 from tests.deployment import TEAMS, TYPES, description
 from tests.standins import Cloud, StateService, Worker
 
@@ -74,9 +74,9 @@
         async def serve(method, path, body):
             answer = handle(method, path, body)
             status, reply = await answer if isinstance(answer, Deferred) else answer
-            return Answer(status, reply)
+            return HttpResponse(status, reply)
 
-        class WithQuery(Endpoint):
+        class WithQuery(RequestResource):
             def render(self, request):
                 request.path = request.uri
                 return super().render(request)
@@ -99,7 +99,7 @@
                 try:
                     response = await self.http.request("POST", node, "/v1/report", body, seconds(4))
                     answered((response.status, response.body))
-                except NoAnswer:
+                except NoResponseError:
                     answered(None)
 
             Deferred.fromCoroutine(ask())
@@ -140,7 +140,7 @@
             at = (at + 1) % 3
             try:
                 answer = await self.ask(at, method, path, body)
-            except NoAnswer:
+            except NoResponseError:
                 answer = None
             if (
                 answer is not None
@@ -158,7 +158,7 @@
             try:
                 if (await self.ask(at, "GET", "/ready")).status == 200:
                     return True
-            except NoAnswer:
+            except NoResponseError:
                 pass
             await pause()
         return False
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -61,7 +61,9 @@
 
     def __init__(self, world: "World", name: str, life: LifeClock, version: Version) -> None:
         self._world, self._name, self._life = world, name, life
-        self._web = version.module("web")
+        self._no_response = version.named("web", "NoResponseError")
+        self._not_sent = version.named("web", "NotSentError")
+        self._response = version.named("web", "ClientResponse")
 
     async def request(
         self,
@@ -76,17 +78,17 @@
         def answered(answer: Reply | None) -> None:
             if self._life.alive and not waiter.called:
                 if answer is None:
-                    waiter.errback(self._web.NoAnswer("lost"))
+                    waiter.errback(self._no_response("lost"))
                 else:
-                    waiter.callback(self._web.Response(*answer))
+                    waiter.callback(self._response(*answer))
 
         def late() -> None:
             if not waiter.called:
-                waiter.errback(self._web.NoAnswer("timed out"))
+                waiter.errback(self._no_response("timed out"))
 
         target = self._world.names.get(address, address)
         if self._world.refuses(self._name, target):
-            raise self._web.NotSent("refused")
+            raise self._not_sent("refused")
         sockets = self._world.sockets[self._name]
         if target.startswith("n-"):
             self._world.opened(sockets)
@@ -96,9 +98,12 @@
             return await waiter
         finally:
             if target.startswith("n-"):
-                sockets.closed()
+                sockets.on_closed()
             if timer.active():
                 timer.cancel()
 
-    def let_go(self) -> None:
+    def close_idle_connections(self) -> None:
         """Nothing is kept here."""
+
+    # Production has it under another name.
+    let_go = close_idle_connections
--- a/tests/production_writer.py
+++ b/tests/production_writer.py
@@ -18,11 +18,11 @@
 
 
 class ConditionFailed(Exception):
-    """A mark was not the one that the write was conditional on."""
+    """A key had another revision than the one that the write was conditional on."""
 
 
 class ProductionWriter:
-    """Writes to the store of a world as a production process does, conditional on marks."""
+    """Writes to the store of a world as a production process does, conditional on the revisions of keys."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -47,13 +47,13 @@
         value, _, _ = self.state.keys[key]
         return production.decode_record(key, encode(value))
 
-    def mark(self, key: str) -> int:
+    def mod_revision(self, key: str) -> int:
         return self.state.keys[key][1] if key in self.state.keys else 0
 
     def write(self, key: str, record: Any, of_leader: bool = True) -> None:
-        conditions = [{"k": key, "mark": self.mark(key)}]
+        conditions = [{"k": key, "mark": self.mod_revision(key)}]
         if of_leader:
-            conditions.append({"k": production.LEADER, "mark": self.mark(production.LEADER)})
+            conditions.append({"k": production.LEADER, "mark": self.mod_revision(production.LEADER)})
         value = msgspec.json.decode(production.encode_record(record))
         body = encode({"when": conditions, "writes": [{"set": key, "v": value}]})
         answer = self.state.handle("POST", "/txn", body)
--- a/tests/record_production.py
+++ b/tests/record_production.py
@@ -130,7 +130,7 @@
         day.StoredEntry(key, world.values[key], mark, lease)
         for key, (_, mark, lease) in sorted(state.keys.items())
     ]
-    return day.RecordedStore(COMMIT, state.turn, state.next_lease, leases, entries)
+    return day.RecordedStore(COMMIT, state.revision, state.next_lease, leases, entries)
 
 
 def recorded_surroundings(world: World) -> day.RecordedSurroundings:
--- a/tests/recorded_day.py
+++ b/tests/recorded_day.py
@@ -133,7 +133,7 @@
 
 def _restore_store(world: World, store: RecordedStore) -> None:
     state = world.state
-    state.turn, state.next_lease = store.turn, store.next_lease
+    state.revision, state.next_lease = store.turn, store.next_lease
     for lease in store.leases:
         ttl = seconds(lease.ttl_s)
         state.leases[lease.number] = [ttl, world.clock.now() + ttl]
--- a/tests/sibling_links.py
+++ b/tests/sibling_links.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from spindleglade.clock import seconds, sleep
-from spindleglade.leadership.links import Link, Links, Message
+from spindleglade.leadership.links import Message, PeerConnection, PeerNetwork
 from tests.processes import LifeClock
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 
     def __init__(self, world: "World", own: str, other: str, received: Any) -> None:
         self._world, self._own, self._other = world, own, other
-        self._received = received
+        self._on_message = received
         self._lives = [world.lives[own], world.lives[other]]
         self.peer: SimConnection | None = None
         self.transport = self
@@ -34,7 +34,7 @@
 
     def _arrive(self, message: Message) -> None:
         if self.peer is not None and all(life.alive for life in self._lives):
-            self.peer._received(self.peer, message)
+            self.peer._on_message(self.peer, message)
 
     def abortConnection(self) -> None:
         self._world.connections_of_siblings.pop(self, None)
@@ -45,28 +45,28 @@
             self.lost()
 
 
-def connect_links(world: "World", own: str, links: Links) -> Links:
+def connect_links(world: "World", own: str, links: PeerNetwork) -> PeerNetwork:
     """Puts a controller's links on the simulated network."""
-    for link in links.links:
+    for link in links.connections:
         link._connect = partial(_connect, world, own, link)
     return links
 
 
-async def _connect(world: "World", own: str, link: Link, host: str, port: int) -> None:
-    other, life = link.sibling.name, world.lives[own]
+async def _connect(world: "World", own: str, link: PeerConnection, host: str, port: int) -> None:
+    other, life = link.peer.name, world.lives[own]
     if other not in world.nodes:
         raise ConnectionRefusedError
     if world.is_cut(own, other) and other not in world.silent:
         await sleep(life, seconds(1))
         raise TimeoutError
-    near = SimConnection(world, own, other, link._received)
-    far = SimConnection(world, other, own, world.nodes[other].links._asked)
+    near = SimConnection(world, own, other, link._on_message)
+    far = SimConnection(world, other, own, world.nodes[other].peers._on_request)
     near.peer, far.peer = far, near
 
     def lost() -> None:
         if link._connection is near:
-            link._closed = life.now()
-            link._down()
+            link._closed_at = life.now()
+            link._on_connection_lost()
 
     near.lost = lost
     world.connections_of_siblings[near] = None
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -63,7 +63,7 @@
         self.too_many = 0
         self.value_kb = value_kb
         self.txn_ops = txn_ops
-        self.turn = 0
+        self.revision = 0
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.log: list[dict] = []
         self.kept = 10_000
@@ -114,14 +114,14 @@
     def _write(self, writes: list[dict]) -> None:
         if not writes:
             return
-        self.turn += 1
+        self.revision += 1
         self.changes += len(writes)
         for write in writes:
             if "set" in write:
-                self.keys[write["set"]] = (write["v"], self.turn, write.get("hold"))
-                self.log.append({"set": write["set"], "v": write["v"], "mark": self.turn})
+                self.keys[write["set"]] = (write["v"], self.revision, write.get("hold"))
+                self.log.append({"set": write["set"], "v": write["v"], "mark": self.revision})
             elif self.keys.pop(write["remove"], None) is not None:
-                self.log.append({"remove": write["remove"], "mark": self.turn})
+                self.log.append({"remove": write["remove"], "mark": self.revision})
         del self.log[: -self.kept]
         self._notify()
 
@@ -142,7 +142,7 @@
                 continue
             changes = self._changes(prefix, since)
             if changes:
-                waiter.callback(reply(200, {"turn": self.turn, "log": changes}))
+                waiter.callback(reply(200, {"turn": self.revision, "log": changes}))
             else:
                 self._watches.append((prefix, since, waiter))
 
@@ -175,9 +175,9 @@
         if parts.path.startswith("/kv/"):
             key = parts.path[4:]
             if key not in self.keys:
-                return reply(404, {"turn": self.turn})
-            value, mark, lease = self.keys[key]
-            return reply(200, {"k": key, "v": value, "mark": mark, "hold": lease})
+                return reply(404, {"turn": self.revision})
+            value, mod_revision, lease = self.keys[key]
+            return reply(200, {"k": key, "v": value, "mark": mod_revision, "hold": lease})
         if parts.path == "/leases":
             ttl = timedelta(milliseconds=decode(body)["ttl_ms"])
             number, self.next_lease = self.next_lease, self.next_lease + 1
@@ -206,23 +206,23 @@
                 return reply(400, {"error": "no such lease"})
         failed = [at["k"] for at in when if self.keys.get(at["k"], (None, 0))[1] != at["mark"]]
         if failed:
-            return reply(409, {"failed": failed, "turn": self.turn})
+            return reply(409, {"failed": failed, "turn": self.revision})
         self._write(writes)
-        return reply(200, {"turn": self.turn})
+        return reply(200, {"turn": self.revision})
 
     def _list(self, query: dict) -> Reply:
         keys = sorted(k for k in self.keys if k.startswith(query["starts"]) and k > query.get("since", ""))
         page = keys[: min(int(query.get("page", 1000)), 7)]
         entries = [{"k": key, "v": self.keys[key][0], "mark": self.keys[key][1]} for key in page]
-        return reply(200, {"entries": entries, "has_next": len(page) < len(keys), "turn": self.turn})
+        return reply(200, {"entries": entries, "has_next": len(page) < len(keys), "turn": self.revision})
 
     def _watch(self, query: dict) -> Reply | Deferred:
         since, prefix = int(query["since"]), query["starts"]
-        if self.turn > self.kept and since < self.turn - self.kept:
+        if self.revision > self.kept and since < self.revision - self.kept:
             return reply(410)
         changes, wait = self._changes(prefix, since), int(query.get("wait_ms", 0))
         if changes or wait == 0:
-            return reply(200, {"turn": self.turn, "log": changes})
+            return reply(200, {"turn": self.revision, "log": changes})
         waiter: Deferred[Reply] = Deferred()
         self._watches.append((prefix, since, waiter))
         self.clock.later(timedelta(milliseconds=wait), self._watch_over, waiter)
@@ -230,7 +230,7 @@
 
     def _watch_over(self, waiter: Deferred) -> None:
         if not waiter.called and not self.down:
-            waiter.callback(reply(200, {"turn": self.turn, "log": []}))
+            waiter.callback(reply(200, {"turn": self.revision, "log": []}))
 
 
 @dataclass
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -4,7 +4,7 @@
 import pytest
 
 from spindleglade.clock import seconds
-from spindleglade.tasks import spawn
+from spindleglade.tasks import run_in_background
 from tests.deployment import CANCEL
 from tests.world import World
 
@@ -79,18 +79,18 @@
     """The store may be down for all a moment after the transaction, before the watch tells of it."""
     world, jobs, leader = busy(8)
     for (name, node), job in zip(world.nodes.items(), jobs, strict=True):
-        node.replica.apply = lambda turn, changes: None
+        node.replica.apply = lambda revision, changes: None
         answers = []
 
         async def abort(node=node, job=job, answers=answers):
             answers.append(await node.handle("POST", f"/submissions/{job}/abort", b""))
-            answers.append(node.views.aborts_since(0))
+            answers.append(node.views.cancellations_since(0))
 
-        spawn(abort(), "aborting")
+        run_in_background(abort(), "aborting")
         while len(answers) < 2:
             world.run(seconds(0.05))
         assert b'"aborted"' in answers[0].body and job in dict(answers[1]), name
     # The leader stops its tasks at once, and those of the others once their next pings have told it.
     cluster = world.nodes[leader].leader.cluster
     world.run(seconds(1.5))
-    assert all(cluster.jobs[job].aborted for job in jobs if job in cluster.jobs)
+    assert all(cluster.jobs[job].cancelled for job in jobs if job in cluster.jobs)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 
 from spindleglade.clock import seconds
-from spindleglade.fleet.manager import FleetManager
+from spindleglade.fleet.manager import Autoscaler
 from spindleglade.leader import Leader
-from spindleglade.store.client import StateClient, Unavailable
-from spindleglade.workers.cluster import Cluster
+from spindleglade.store.client import NotAppliedError, StateClient
+from spindleglade.workers.cluster import ClusterState
 from tests.deployment import Deployment
 from tests.faults import FAULTS, do
 from tests.liveness import LEADS_WITHIN, STARTS_WITHIN
@@ -42,14 +42,14 @@
 
 
 LOOPS = {
-    "recorder": (Cluster, "collect"),
-    "renting": (FleetManager, "_rent"),
-    "giving back": (FleetManager, "_give_back"),
-    "list of machines": (FleetManager, "_listed"),
-    "upkeep": (Cluster, "learn_kinds"),
-    "planning": (Cluster, "snapshot"),
-    "applying a plan": (Cluster, "apply"),
-    "taking over": (Leader, "_read"),
+    "recorder": (ClusterState, "collect_writes"),
+    "renting": (Autoscaler, "_scale_out"),
+    "giving back": (Autoscaler, "_scale_in"),
+    "list of machines": (Autoscaler, "_apply_machine_list"),
+    "upkeep": (ClusterState, "set_machine_types"),
+    "planning": (ClusterState, "snapshot"),
+    "applying a plan": (ClusterState, "apply_plan"),
+    "taking over": (Leader, "_load_records"),
 }
 
 
@@ -133,7 +133,7 @@
     stuck = world.nodes[world.node_names[world.leader()]].leader
 
     def breaks_here(self, *args, **kwargs):
-        if self is stuck.cluster or self is stuck._fleet:
+        if self is stuck.cluster or self is stuck._autoscaler:
             raise Broken
         return method(self, *args, **kwargs)
 
@@ -146,7 +146,7 @@
 
 def test_where_each_leader_breaks_leadership_does_not_go_round_in_circles(monkeypatch):
     """Each of the three makes way once, then after 60 s, 120 s and 240 s more."""
-    monkeypatch.setattr(Cluster, "snapshot", breaks_always)
+    monkeypatch.setattr(ClusterState, "snapshot", breaks_always)
     world = World(35)
     world.expected_errors = ("loop broke",)
     world.run(seconds(400))
@@ -181,7 +181,7 @@
         if leading and not first:
             first.append(leading[0].client)
         if first and self is first[0]:
-            raise Unavailable("not for this node")
+            raise NotAppliedError("not for this node")
         return await read_all(self, prefix)
 
     monkeypatch.setattr(StateClient, "read_all", fails_for_the_first)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -7,7 +7,7 @@
 import pytest
 
 from spindleglade.clock import seconds
-from spindleglade.tasks import spawn
+from spindleglade.tasks import run_in_background
 from tests.deployment import CANCEL, Deployment
 from tests.world import World
 
@@ -79,7 +79,7 @@
         async def ask(name=name):
             got[name] = await world.nodes[name].handle("GET", f"/submissions/{job}", b"")
 
-        spawn(ask(), "asking")
+        run_in_background(ask(), "asking")
     world.run(seconds(2))
     assert len(got) == len(world.nodes)
     return {(answer.status, answer.body) for answer in got.values()}
@@ -399,7 +399,7 @@
     assert len(machines) == 4
     world.cut(world.node_names[old], machines, True, seconds(9.5 + seed / 4))
     first = world.submit(100, crew="red", threads=2, vcpus=2.0, run_s=20.0)
-    while not any(one.sending for one in world.assignments()):
+    while not any(one.starts_in_flight for one in world.assignments()):
         world.run(seconds(0.05))
     at = {address(world, one.machine) for one in world.assignments() if one.job.id == first}
     world.kill_node(old)
@@ -487,7 +487,7 @@
     world.clock.later(CANCEL + seconds(20), setattr, world.cloud, "trouble", False)
     jobs = [world.submit(100 + number, threads=2, vcpus=1.0, run_s=30.0) for number in range(2)]
     world.run(seconds(1))
-    assert any(assignment.sending for assignment in world.assignments()), "a start is on its way"
+    assert any(assignment.starts_in_flight for assignment in world.assignments()), "a start is on its way"
     near, far = (world.node_names[(leader + step) % 3] for step in (1, 2))
     if not relayed:
         world.cut(near, world.node_names, False, CANCEL + seconds(8))
