--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -39,12 +39,12 @@
 from spindleglade.submissions import records, views
 from spindleglade.submissions.acceptance import acceptance_writes
 from spindleglade.submissions.api import UserApi
-from spindleglade.submissions.pieces import Pieces
-from spindleglade.web import REPORT_PATH, Answer, Response
+from spindleglade.submissions.pieces import TaskRanges
+from spindleglade.web import HEARTBEAT_PATH, ClientResponse, HttpResponse
 from spindleglade.workers import messages as workers
 from spindleglade.workers.api import WorkerApi
-from spindleglade.workers.balancer import Load, ReportBalancer, Solitude
-from spindleglade.workers.cancellation_bound import CancellationBound
+from spindleglade.workers.balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
+from spindleglade.workers.cancellation_bound import CancellationFreshness
 
 
 class Form(NamedTuple):
@@ -58,45 +58,45 @@
 FORMS: dict[str, Form] = {
     "users: submission": Form(users.Submission),
     "users: dependencies of a submission": Form(users._Dependencies),
-    "users: name in a submission": Form(users._Named),
-    "users: job answer": Form(users.JobAnswer),
-    "users: state answer": Form(users.StateAnswer),
-    "workers: task in a report": Form(workers.TaskReport),
-    "workers: report": Form(workers.Report),
-    "workers: order": Form(workers.Order),
-    "workers: answer to a report": Form(workers.ReportAnswer),
-    "workers: orders sent": Form(workers.Orders),
+    "users: name in a submission": Form(users._JobReference),
+    "users: job answer": Form(users.JobResponse),
+    "users: state answer": Form(users.JobStatusResponse),
+    "workers: task in a report": Form(workers.TaskStatus),
+    "workers: report": Form(workers.Heartbeat),
+    "workers: order": Form(workers.Command),
+    "workers: answer to a report": Form(workers.HeartbeatResponse),
+    "workers: orders sent": Form(workers.CommandBatch),
     "cloud: machine type": Form(cloud.MachineType),
-    "cloud: machine types": Form(cloud.Types),
-    "cloud: request of machines": Form(cloud.Rent),
-    "cloud: machines given": Form(cloud.Rented),
-    "cloud: machines given back": Form(cloud.Release),
-    "cloud: machine in a list": Form(cloud.Listed),
-    "cloud: page of machines": Form(cloud.Page),
+    "cloud: machine types": Form(cloud.MachineTypeList),
+    "cloud: request of machines": Form(cloud.ProvisionRequest),
+    "cloud: machines given": Form(cloud.ProvisionResponse),
+    "cloud: machines given back": Form(cloud.TerminateRequest),
+    "cloud: machine in a list": Form(cloud.ListedMachine),
+    "cloud: page of machines": Form(cloud.MachinePage),
     "store: entry": Form(store.Entry),
     "store: change": Form(store.Change),
-    "store: page of entries": Form(store._Page),
-    "store: watch answer": Form(store._Watched),
-    "store: revision": Form(store._Turn),
-    "store: conflict": Form(store._Conflict),
-    "store: lease": Form(store._Hold),
+    "store: page of entries": Form(store._ListResponse),
+    "store: watch answer": Form(store._WatchResponse),
+    "store: revision": Form(store._CommitResponse),
+    "store: conflict": Form(store._ConflictResponse),
+    "store: lease": Form(store._LeaseResponse),
     "store: condition": Form(store.Condition),
     "store: put": Form(store.Put),
     "store: delete": Form(store.Delete),
-    "store: transaction": Form(store._Txn, encode_only=True),
-    "store: lease request": Form(store._Grant),
-    "controllers: ping": Form(links.Ping, msgspec.msgpack),
-    "controllers: relay": Form(links.Relay, msgspec.msgpack),
-    "controllers: relayed": Form(links.Relayed, msgspec.msgpack),
-    "controllers: forward": Form(links.Forward, msgspec.msgpack),
-    "controllers: forwarded": Form(links.Forwarded, msgspec.msgpack),
+    "store: transaction": Form(store._TransactionRequest, encode_only=True),
+    "store: lease request": Form(store._LeaseRequest),
+    "controllers: ping": Form(links.PeerHeartbeat, msgspec.msgpack),
+    "controllers: relay": Form(links.HeartbeatRelayRequest, msgspec.msgpack),
+    "controllers: relayed": Form(links.HeartbeatRelayResponse, msgspec.msgpack),
+    "controllers: forward": Form(links.UserRequestForward, msgspec.msgpack),
+    "controllers: forwarded": Form(links.UserRequestForwardResponse, msgspec.msgpack),
     "records: leader": Form(election.LeaderRecord),
     "records: token": Form(election.TokenRecord),
     "records: job": Form(records.JobRecord),
-    "records: placement": Form(records.Placement),
-    "records: chunk": Form(records.Chunk),
+    "records: placement": Form(records.StoredAttempt),
+    "records: chunk": Form(records.TaskRangeRecord),
     "records: history": Form(History),
-    "platform: sibling": Form(platform.Sibling),
+    "platform: sibling": Form(platform.Peer),
     "platform: external": Form(platform.External),
     "platform: team": Form(platform.Team),
     "platform: objective": Form(platform.Objective),
@@ -119,33 +119,48 @@
 # Structs that never leave the process.
 INTERNAL: list[type[msgspec.Struct]] = [users.MachineShape, views.JobView, election.Term]
 
-PIECES = Pieces(100, 250, [120, 210])
+PIECES = TaskRanges(100, 250, [120, 210])
 
 KEYS: dict[str, Any] = {
     "prefix": records.PREFIX,
     "jobs": records.JOBS,
-    "tasks": records.TASKS,
-    "parts": records.PARTS,
+    "tasks": records.TASK_RANGES,
+    "parts": records.OVERFLOW_RANGES,
     "dependencies": records.DEPENDENCIES,
     "history": records.HISTORY,
-    "vouched": records.VOUCHED,
+    "vouched": records.LEASE_RENEWALS,
     "types": records.TYPES,
     "more types": MORE_TYPES,
     "leader": election.LEADER,
     "token": election.TOKEN,
     "job key": records.job_key("job-17"),
-    "chunk key": records.chunk_key("job-17", 42),
-    "part key": records.part_key("job-17", 345),
+    "chunk key": records.range_key("job-17", 42),
+    "part key": records.overflow_range_key("job-17", 345),
     "dependency key": records.dependency_key("job-17", 6),
-    "chunk key read": records.split_chunk_key("sg/task/job-17/000042"),
-    "part key read": records.split_part_key("sg/part/job-17/000345"),
+    "chunk key read": records.split_range_key("sg/task/job-17/000042"),
+    "part key read": records.split_overflow_range_key("sg/part/job-17/000345"),
     "dependency key read": records.split_dependency_key("sg/dependencies/job-17/000006"),
     "keys of a job with parts": PIECES.keys("job-17"),
-    "tasks in a chunk at 1, 4 and 64 KiB": [records.chunk_size(size) for size in (1024, 4096, 65536)],
+    "tasks in a chunk at 1, 4 and 64 KiB": [records.tasks_per_range(size) for size in (1024, 4096, 65536)],
     "task name": workers.task_name("job-17", 42),
     "task name read": workers.split_task("job-17/42"),
 }
 
+# Messages sent as arrays have no names on the wire: which field stands where the pin has another name.
+ARRAY_FIELDS: dict[str, dict[str, str]] = {
+    "records: placement": {"incarnation": "session"},
+    "controllers: ping": {
+        "controller": "node",
+        "replica_age_ms": "unconfirmed_ms",
+        "revision": "turn",
+        "cancellations": "aborts",
+    },
+    "controllers: relay": {"request_id": "number", "heartbeats": "reports"},
+    "controllers: relayed": {"request_id": "number", "responses": "answers"},
+    "controllers: forward": {"request_id": "number"},
+    "controllers: forwarded": {"request_id": "number"},
+}
+
 LIMITS = platform.StateLimits(1000.0, 1000.0, 16.0, 12)
 SMALL_VALUES = platform.StateLimits(1000.0, 1000.0, 0.5, 12)
 
@@ -164,9 +179,9 @@
         path: str,
         body: bytes | None = None,
         timeout: timedelta | None = None,
-    ) -> Response:
+    ) -> ClientResponse:
         self.requests.append([method, address, path, None if body is None else body.decode()])
-        return Response(200, self.answers.pop(0).encode())
+        return ClientResponse(200, self.answers.pop(0).encode())
 
 
 def state_client(requester: RecordingRequester) -> StateClient:
@@ -180,15 +195,15 @@
 def transaction(requester: RecordingRequester) -> Awaitable[Any]:
     conditions = [store.Condition("sg/a", 3)]
     writes = [
-        store.Put("sg/b", store.raw({"x": 1}), 9),
-        store.Put("sg/c", store.raw([2])),
+        store.Put("sg/b", store.encode_value({"x": 1}), 9),
+        store.Put("sg/c", store.encode_value([2])),
         store.Delete("sg/d"),
     ]
-    return state_client(requester).txn(conditions, writes, True)
+    return state_client(requester).compare_and_swap(conditions, writes, True)
 
 
 ONE_SECOND = timedelta(seconds=1)
-RENT = cloud.Rent("ask-1", "small", "north", True, 4)
+RENT = cloud.ProvisionRequest("ask-1", "small", "north", True, 4)
 Call = Callable[[RecordingRequester], Awaitable[Any]]
 
 # What is requested of the state service and the cloud.
@@ -196,14 +211,14 @@
     "store: read a key": lambda requester: state_client(requester).get("sg/leader"),
     "store: read all keys": lambda requester: state_client(requester).read_all("sg/"),
     "store: transaction": transaction,
-    "store: grant a lease": lambda requester: state_client(requester).grant(timedelta(seconds=4.5)),
-    "store: renew a lease": lambda requester: state_client(requester).touch(9),
-    "store: drop a lease": lambda requester: state_client(requester).drop(9),
+    "store: grant a lease": lambda requester: state_client(requester).grant_lease(timedelta(seconds=4.5)),
+    "store: renew a lease": lambda requester: state_client(requester).keep_alive(9),
+    "store: drop a lease": lambda requester: state_client(requester).revoke_lease(9),
     "store: watch": lambda requester: state_client(requester).watch("sg/", 17, ONE_SECOND),
-    "cloud: machine types": lambda requester: cloud_client(requester).types(),
-    "cloud: rent": lambda requester: cloud_client(requester).rent(RENT, lambda: True),
-    "cloud: release": lambda requester: cloud_client(requester).release(["n-1", "n-2"], lambda: True),
-    "cloud: list machines": lambda requester: cloud_client(requester).machines(),
+    "cloud: machine types": lambda requester: cloud_client(requester).list_machine_types(),
+    "cloud: rent": lambda requester: cloud_client(requester).provision(RENT, lambda: True),
+    "cloud: release": lambda requester: cloud_client(requester).terminate(["n-1", "n-2"], lambda: True),
+    "cloud: list machines": lambda requester: cloud_client(requester).list_machines(),
 }
 
 
@@ -215,48 +230,48 @@
     """An interface that knows one job, which was aborted."""
     client = state_client(RecordingRequester([]))
     known = views.JobViews()
-    known.listener(records.job_key("job-17"), pinned("messages", "records: job")["full"].encode(), 5)
+    known.on_change(records.job_key("job-17"), pinned("messages", "records: job")["full"].encode(), 5)
     replica = Replica(client, ManualClock(), records.PREFIX, ONE_SECOND, ONE_SECOND)
     return UserApi(client, replica, known, {}, lambda: None, no_sibling, ManualClock().utc)
 
 
 def worker_api(lead: bool, crowded: bool = False) -> WorkerApi:
     clock = ManualClock()
-    balancer = ReportBalancer(clock, ONE_SECOND, 1, ZERO)
+    balancer = HeartbeatBalancer(clock, ONE_SECOND, 1, ZERO)
     if crowded:
-        balancer.weigh(Load("node-1", 100, False), [Load("node-2", 0, False)])
+        balancer.rebalance(ControllerLoad("node-1", 100, False), [ControllerLoad("node-2", 0, False)])
     answer = message("workers: answer to a report", pinned("messages", "workers: answer to a report")["full"])
     return WorkerApi(
         clock,
         views.JobViews(),
-        CancellationBound(clock, ONE_SECOND, lambda: None),
+        CancellationFreshness(clock, ONE_SECOND, lambda: None),
         lambda report: answer,
         lambda: lead,
         no_sibling,
         lambda token: None,
         balancer,
-        Solitude(clock, "north", ONE_SECOND, lambda: None),
+        IsolationDetector(clock, "north", ONE_SECOND, lambda: None),
     )
 
 
-def ask_user_api(method: str, path: str, body: str) -> Awaitable[Answer]:
+def ask_user_api(method: str, path: str, body: str) -> Awaitable[HttpResponse]:
     return user_api().handle(method, path, body.encode())
 
 
-def ask_leader(method: str, path: str, body: str) -> Awaitable[Answer]:
+def ask_leader(method: str, path: str, body: str) -> Awaitable[HttpResponse]:
     return worker_api(lead=True).handle(method, path, body.encode())
 
 
-def ask_follower(method: str, path: str, body: str) -> Awaitable[Answer]:
+def ask_follower(method: str, path: str, body: str) -> Awaitable[HttpResponse]:
     return worker_api(lead=False).handle(method, path, body.encode())
 
 
-def ask_crowded(method: str, path: str, body: str) -> Awaitable[Answer]:
+def ask_crowded(method: str, path: str, body: str) -> Awaitable[HttpResponse]:
     return worker_api(lead=True, crowded=True).handle(method, path, body.encode())
 
 
 # Who answers the pinned requests.
-ANSWERING: dict[str, Callable[[str, str, str], Awaitable[Answer]]] = {
+ANSWERING: dict[str, Callable[[str, str, str], Awaitable[HttpResponse]]] = {
     "users": ask_user_api,
     "workers of the leader": ask_leader,
     "workers of a follower alone": ask_follower,
@@ -341,10 +356,15 @@
     return json_text(field.default)
 
 
-def describe_fields(kind: type[msgspec.Struct]) -> list[dict[str, Any]]:
+def describe_fields(label: str) -> list[dict[str, Any]]:
+    renamed = ARRAY_FIELDS.get(label, {})
     return [
-        {"name": field.encode_name, "required": field.required, "default": default_text(field)}
-        for field in msgspec.structs.fields(kind)
+        {
+            "name": renamed.get(field.encode_name, field.encode_name),
+            "required": field.required,
+            "default": default_text(field),
+        }
+        for field in msgspec.structs.fields(FORMS[label].type)
     ]
 
 
@@ -453,7 +473,11 @@
 
 @pytest.mark.parametrize("label", PINS["messages"])
 def test_message_keeps_names_order_and_defaults_of_its_fields(label: str) -> None:
-    assert describe_fields(FORMS[label].type) == pinned("messages", label)["fields"]
+    assert describe_fields(label) == pinned("messages", label)["fields"]
+
+
+def test_only_messages_sent_as_arrays_have_other_names_than_their_pins() -> None:
+    assert all(FORMS[label].type.__struct_config__.array_like for label in ARRAY_FIELDS)
 
 
 @pytest.mark.parametrize("label", PINS["messages"])
@@ -499,7 +523,7 @@
 
 
 def test_path_of_reports_is_unchanged() -> None:
-    assert pinned("paths", "report") == REPORT_PATH.decode()
+    assert pinned("paths", "report") == HEARTBEAT_PATH.decode()
 
 
 def test_operator_defaults_are_unchanged() -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from spindleglade.clock import seconds
-from spindleglade.tasks import spawn
+from spindleglade.tasks import run_in_background
 from tests.deployment import CANCEL, Deployment
 from tests.faults import FAULTS, do
 from tests.pipelines import Pipelines, chain, diamond, fan_in, fan_out
@@ -368,7 +368,7 @@
 
     for number, name in enumerate(world.node_names):
         body = dict(world.jobs[pipeline.job(0)], ref=f"job-{500 + number:06d}", awaits=["job-999999"])
-        spawn(ask(name, body), "asking")
+        run_in_background(ask(name, body), "asking")
     world.run(seconds(3))
     assert len(statuses) == 3 and all(status == 503 and retry for status, retry in statuses)
 
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -5,7 +5,7 @@
 
 from spindleglade.backfill.distributions import History
 from spindleglade.clock import seconds
-from spindleglade.fleet.messages import Types
+from spindleglade.fleet.messages import MachineTypeList
 from spindleglade.leadership import election, links
 from spindleglade.submissions import records
 from tests import production, versions
@@ -27,15 +27,32 @@
 MESSAGES = read_messages()
 CURRENT_TYPES = {
     production.JOBS: records.JobRecord,
-    production.TASKS: records.Chunk,
+    production.TASKS: records.TaskRangeRecord,
     production.HISTORY: History,
     production.VOUCHED: list[str],
-    production.TYPES: Types,
+    production.TYPES: MachineTypeList,
     production.LEADER: election.LeaderRecord,
     production.TOKEN: election.TokenRecord,
 }
 
 
+# The present messages between controllers, and what production calls them.
+PRODUCTION_MESSAGES = {
+    links.PeerHeartbeat: "Ping",
+    links.HeartbeatRelayRequest: "Relay",
+    links.HeartbeatRelayResponse: "Relayed",
+    links.UserRequestForward: "Forward",
+    links.UserRequestForwardResponse: "Forwarded",
+}
+
+
+def assert_same_message(message, old):
+    """A present message says what production's says: its kind, and the same values in the same places."""
+    assert PRODUCTION_MESSAGES[type(message)] == type(old).__name__
+    values = msgspec.structs.astuple(old)
+    assert msgspec.structs.astuple(message)[: len(values)] == values
+
+
 def recorded_jobs(stage=None):
     """The recorded jobs by id, or those of one stage."""
     found = {entry.key: production.decode_record(entry.key, entry.value) for entry in STORE.under("sg/job/")}
@@ -141,9 +158,8 @@
 def test_recorded_messages_are_read(kind):
     message = links.decode_message(MESSAGES[kind])
     old = production.decode_message(MESSAGES[kind])
-    assert type(message).__name__ == kind
-    for name in old.__struct_fields__:
-        assert getattr(message, name) == getattr(old, name), name
+    assert PRODUCTION_MESSAGES[type(message)] == kind
+    assert_same_message(message, old)
 
 
 def leader_of(world):
@@ -167,7 +183,9 @@
         assert job in jobs
         first = number * recorded_jobs()[job].chunk
         assert first == 0, "all recorded jobs have one chunk"
-        placed = {index: (one.attempt, one.machine, one.session) for index, one in jobs[job].placed.items()}
+        placed = {
+            index: (one.attempt, one.machine, one.incarnation) for index, one in jobs[job].placed.items()
+        }
         assert placed == {
             index: (one.attempt, one.machine, one.session) for index, one in chunk.placed.items()
         }
@@ -175,10 +193,10 @@
         assert all(jobs[job].attempts[index] == one.attempt for index, one in chunk.placed.items())
         assert jobs[job].done == sum(last - first + 1 for first, last in chunk.done)
         if job in open_jobs:
-            assert not jobs[job].aborted
+            assert not jobs[job].cancelled
     # Those that are over are not started again.
     assert not recorded_jobs("done").keys() & jobs.keys()
-    assert all(jobs[job].aborted for job in recorded_jobs("aborted") if job in jobs)
+    assert all(jobs[job].cancelled for job in recorded_jobs("aborted") if job in jobs)
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -279,12 +297,9 @@
 
 def test_sibling_messages_mean_the_same_to_production():
     sent = the_day().sent_messages
-    assert {type(message).__name__ for message, _ in sent} >= {"Ping", "Relay", "Relayed"}
+    assert {PRODUCTION_MESSAGES[type(message)] for message, _ in sent} >= {"Ping", "Relay", "Relayed"}
     for message, data in sent:
-        old = production.decode_message(data)
-        assert type(old).__name__ == type(message).__name__
-        for name in old.__struct_fields__:
-            assert getattr(old, name) == getattr(message, name), name
+        assert_same_message(message, production.decode_message(data))
 
 
 # Records that production rewrites.
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -62,7 +62,7 @@
     with pytest.raises(ConditionFailed):
         # Its writes fail from now on, as those of any deposed leader.
         stale = ProductionWriter(world)
-        stale.mark = lambda key: 1
+        stale.mod_revision = lambda key: 1
         stale.rewrite(production.chunk_key(LARGE_ARRAY, 0), lambda chunk: chunk)
     settle(world, 100.0)
     assert sum(job >= f"job-{ACCEPTED_BY_PRODUCTION:06d}" for job in world.told) == 4
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -4,9 +4,9 @@
 import pytest
 
 from spindleglade.clock import seconds
-from spindleglade.leadership.links import Ping
+from spindleglade.leadership.links import PeerHeartbeat
 from spindleglade.settings.operator import LeadershipSettings
-from spindleglade.tasks import spawn
+from spindleglade.tasks import run_in_background
 from tests.test_meetings import ROOMY, settle
 from tests.world import Deployment, World
 
@@ -38,15 +38,15 @@
     workers = sum(not worker.gone for worker in world.workers.values())
     for (sender, kind), times in world.sent_to_silent.items():
         late = [at for at in times if at > began + NOTICED]
-        assert len(late) <= (SILENT / PING if kind is Ping else 0), (sender, kind, late)
+        assert len(late) <= (SILENT / PING if kind is PeerHeartbeat else 0), (sender, kind, late)
         # Until then a node passes reports on as they come, and each worker has one under way.
         assert len(times) - len(late) <= workers * NOTICED.total_seconds() * 2
-    terms = {name: node.leader.term for name, node in world.nodes.items() if node.leads}
+    terms = {name: node.leader.term for name, node in world.nodes.items() if node.is_leader}
     others = {name: term for name, term in terms.items() if name != world.node_names[silent]}
     assert len(others) == 1
     world.run(seconds(10))
     # Its return changes nothing by itself: the same one leads in the same term.
-    assert {name: node.leader.term for name, node in world.nodes.items() if node.leads} == others
+    assert {name: node.leader.term for name, node in world.nodes.items() if node.is_leader} == others
     settle(world, 120.0)
     assert all(world.told[job] == "done" for job in long_ones)
 
@@ -57,16 +57,16 @@
     world = World(310)
     world.run(seconds(4))
     asker = world.nodes[world.node_names[(world.leader() + 1) % 3]]
-    silent = asker.links.links[0].sibling.name
+    silent = asker.peers.connections[0].peer.name
     world.refused.add(asker._platform.name)
     world.silence_node(world.node_names.index(silent), seconds(10))
     world.run(seconds(0.8))
-    assert asker.links.links[0].up
+    assert asker.peers.connections[0].is_up
     answers = []
 
     async def ask():
         answers.append(await asker.handle("GET", "/submissions/job-000001", b""))
 
-    spawn(ask(), "asking")
+    run_in_background(ask(), "asking")
     world.run(seconds(0.2))
     assert [answer.status for answer in answers] == [404]
--- a/tests/test_smaller_values.py
+++ b/tests/test_smaller_values.py
@@ -5,7 +5,7 @@
 from spindleglade.clock import seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.operator import BackfillSettings
-from spindleglade.submissions.records import HISTORY, JOBS, VOUCHED
+from spindleglade.submissions.records import HISTORY, JOBS, LEASE_RENEWALS
 from tests.deployment import Deployment
 from tests.standins import encode
 from tests.world import World
@@ -43,9 +43,9 @@
         world.cut(name, [*machines, near], False, seconds(20))
     # Long enough for the first values, and then for machines that nobody vouches for to be given up.
     world.run(seconds(6))
-    vouched = sizes(world, f"{VOUCHED}{near}/")
+    vouched = sizes(world, f"{LEASE_RENEWALS}{near}/")
     assert len(vouched) > 1 and max(vouched.values()) <= MOST_BYTES
-    named = world.state.keys[f"{VOUCHED}{near}/1"][0]
+    named = world.state.keys[f"{LEASE_RENEWALS}{near}/1"][0]
     assert len(named) > MANY // 10
     world.run(seconds(10))
     gone = [name for name, worker in world.workers.items() if worker.gone]
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from spindleglade.clock import seconds
-from spindleglade.tasks import spawn
+from spindleglade.tasks import run_in_background
 from tests.faults import FAULTS, do
 from tests.standins import encode
 from tests.world import World
@@ -75,7 +75,7 @@
         async def ask(name=name, job=job):
             got[(name, job)] = (await world.nodes[name].handle("GET", f"/submissions/{job}", b"")).status
 
-        spawn(ask(), "asking")
+        run_in_background(ask(), "asking")
     world.run(seconds(2))
     return got
 
@@ -120,7 +120,7 @@
     world.run(seconds(1))
     assert world.told[job] == "done"
     cluster = world.nodes[world.node_names[world.leader()]].leader.cluster
-    assert first not in cluster.machines or cluster.machines[first].not_receiving is not None
+    assert first not in cluster.machines or cluster.machines[first].unreachable_since is not None
     assert first not in cluster.machines or not cluster.machines[first].placed
 
 
@@ -196,7 +196,7 @@
     world, machine, leader = busy_world(14, run_s=80.0)
     world.freeze_node(leader, seconds(20))
     world.run(seconds(19))
-    assert any(node.leads for name, node in world.nodes.items() if name != world.node_names[leader])
+    assert any(node.is_leader for name, node in world.nodes.items() if name != world.node_names[leader])
     assert not world.completed
     world.run(seconds(110))
     assert world.started == 1 and len(world.completed) == 1
@@ -238,7 +238,7 @@
     leader = world.nodes[names[leader]].leader
     now = leader._clock.now()
     assert leader.cluster.machines
-    assert all(leader.cluster.usable(machine, now) for machine in leader.cluster.machines.values())
+    assert all(leader.cluster.is_usable(machine, now) for machine in leader.cluster.machines.values())
 
 
 def test_a_task_behind_a_cut_with_one_node_runs_on():
@@ -269,7 +269,7 @@
     new = world.leader()
     assert new not in (None, leader) and worker.at == leader
     world.run(seconds(8))
-    heard = world.nodes[world.node_names[new]].leader.cluster.machines[worker.machine.name].heard
+    heard = world.nodes[world.node_names[new]].leader.cluster.machines[worker.machine.name].last_heartbeat_at
     assert world.nodes[world.node_names[new]]._clock.now() - heard < seconds(2)
     world.refused.clear()
     world.run(seconds(60))
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -21,9 +21,10 @@
 
 import msgspec
 
+from tests.production_names import MODULES, NAMES, PRODUCTION_PACKAGE, ProductionView
+
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = "spindleglade"
-PRODUCTION_PACKAGE = "spindleglade_in_production"
 _IMPORT = re.compile(rf"^(\s*(?:from|import) ){PACKAGE}\b", re.MULTILINE)
 
 
@@ -34,8 +35,14 @@
     package: str
 
     def module(self, name: str) -> ModuleType:
-        """A module of this version, such as `leadership.links`."""
-        return importlib.import_module(f"{self.package}.{name}")
+        """A module of this version, such as `leadership.links`, by its present name."""
+        own_name = MODULES.get(name, name) if self.is_production else name
+        return importlib.import_module(f"{self.package}.{own_name}")
+
+    def named(self, module: str, name: str) -> Any:
+        """What this version defines in a module, by the present names of both."""
+        own_name = NAMES.get(name, name) if self.is_production else name
+        return getattr(self.module(module), own_name)
 
     @property
     def is_production(self) -> bool:
@@ -56,12 +63,7 @@
 
 def is_of_production(node: Any) -> bool:
     """Whether a controller's process runs the version in production."""
-    return type(node).__module__.startswith(f"{PRODUCTION_PACKAGE}.")
-
-
-def is_proven(node: Any) -> bool:
-    """Whether the controller has lately been shown that it leads; production has it under another name."""
-    return node._proven() if is_of_production(node) else node.is_proven()
+    return isinstance(node, ProductionView)
 
 
 def production_commit() -> str:
--- a/tests/world.py
+++ b/tests/world.py
@@ -11,15 +11,16 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from spindleglade.app import Node
+from spindleglade.app import Controller
 from spindleglade.clock import ManualClock, seconds
-from spindleglade.leadership.links import Links, Message
+from spindleglade.leadership.links import Message, PeerNetwork
 from spindleglade.settings import OperatorSettings
-from spindleglade.sockets import Sockets
-from spindleglade.tasks import spawn
+from spindleglade.sockets import ConnectionBudget
+from spindleglade.tasks import run_in_background
 from tests.deployment import CANCEL, TYPES, Deployment, description, platform_settings
 from tests.liveness import LivenessRules
 from tests.processes import Errors, LifeClock, SimHttp
+from tests.production_names import viewed
 from tests.rules import OVER, DependencyRules
 from tests.service_rules import ServiceRules
 from tests.sibling_links import SimConnection, connect_links
@@ -62,13 +63,13 @@
         self.workers: dict[str, Worker] = {}
         self.node_names = [f"node-{at}" for at in range(self.at.nodes)]
         self.names = {"10.2.0.1:1": "state", "10.2.0.2:1": "cloud"}
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, Controller] = {}
         # What each controller's next process runs, where it is not the code as it stands.
         self.versions: dict[str, Version] = {}
         self.lives: dict[str, LifeClock] = {}
         # Each node's connections to machines and from workers, and the most that there ever were.
-        self.sockets: dict[str, Sockets] = {}
-        self.connections: dict[str, Sockets] = {}
+        self.sockets: dict[str, ConnectionBudget] = {}
+        self.connections: dict[str, ConnectionBudget] = {}
         self.most_open = 0
         # Cut pairs, and the packets held back between them (None: thrown away).
         self.cuts: dict[frozenset[str], list | None] = {}
@@ -154,12 +155,21 @@
         platform = version.platform(platform_settings(index, self.at))
         ping = seconds(self.settings.leadership.ping_s)
 
-        def connect(hello: Any, relay: Any, forward: Any, saw: Any, ended: Any) -> Links:
+        def connect(hello: Any, relay: Any, forward: Any, saw: Any, ended: Any) -> PeerNetwork:
             # Nobody is told of ended processes: successors wait for the lease, which is harder.
-            links = version.module("leadership.links").Links(
-                None, life, platform.siblings, ping, hello, relay, forward, saw, lambda name: None
+            network = version.named("leadership.links", "PeerNetwork")(
+                None,
+                life,
+                platform.siblings if version.is_production else platform.peers,
+                ping,
+                hello,
+                relay,
+                forward,
+                saw,
+                lambda name: None,
             )
-            return connect_links(self, name, links)
+            connect_links(self, name, viewed(network))
+            return network
 
         async def compute(work: Any, *args: Any) -> Any:
             waiter: Deferred[None] = Deferred()
@@ -167,17 +177,19 @@
             await waiter
             return work(*args)
 
-        self.sockets[name] = sockets = Sockets(self.at.sockets)
+        sockets = version.named("sockets", "ConnectionBudget")(self.at.sockets)
+        self.sockets[name] = viewed(sockets)
         http = SimHttp(self, name, life, version)
-        node = version.module("app").Node(
+        process = version.named("app", "Controller")(
             platform,
             version.module("settings").OperatorSettings() if version.is_production else self.settings,
             life,
             http,
-            version.module("web").Turns(http, life, sockets),
+            version.named("web", "ConcurrencyLimiter")(http, life, sockets),
             connect,
             compute,
         )
+        node = viewed(process)
         node.election._rng = random.Random(self.rng.random())
         self.nodes[name] = node
         node.start()
@@ -353,7 +365,11 @@
 
     def leader(self) -> int | None:
         return next(
-            (at for at, name in enumerate(self.node_names) if name in self.nodes and self.nodes[name].leads),
+            (
+                at
+                for at, name in enumerate(self.node_names)
+                if name in self.nodes and self.nodes[name].is_leader
+            ),
             None,
         )
 
@@ -514,7 +530,7 @@
                 if self.nodes.get(target) is node:
                     done.callback((answer.status, answer.body))
 
-            spawn(serve(), "serving")
+            run_in_background(serve(), "serving")
             return done
         worker = self.workers.get(target.partition(":")[0])
         return None if worker is None or worker.gone else worker.handle(method, path, body)
@@ -558,13 +574,13 @@
         """A worker keeps its connection until it goes to another node, or that node's process ends."""
         before = self.connections.pop(worker, None)
         if before is not None:
-            before.closed()
+            before.on_closed()
         if node in self.nodes:
             self.connections[worker] = self.sockets[node]
             self.opened(self.sockets[node])
 
-    def opened(self, sockets: Sockets) -> None:
-        sockets.opened()
+    def opened(self, sockets: ConnectionBudget) -> None:
+        sockets.on_opened()
         self.most_open = max(self.most_open, sockets.open)
 
     def _machine_down(self, name: str) -> None:
@@ -764,9 +780,9 @@
     def _look_closely(self, job_id: str) -> None:
         """Users ask at all nodes within milliseconds, again and again, and repeat the submission."""
         self.counts["close looks"] += 1
-        for turn in range(4):
+        for revision in range(4):
             for node in self.node_names:
-                at = seconds(self.rng.uniform(0, 0.004) + turn * self.rng.choice([0.002, 0.02, 0.3]))
+                at = seconds(self.rng.uniform(0, 0.004) + revision * self.rng.choice([0.002, 0.02, 0.3]))
                 if self.rng.random() < 0.7:
                     self.clock.later(at, self.poll, job_id, node)
                 else:
@@ -807,7 +823,7 @@
         assert not self.broken, self.broken
 
     def _look_at_leader(self) -> None:
-        leading = [node.leader.term.token for node in self.nodes.values() if node.leads]
+        leading = [node.leader.term.token for node in self.nodes.values() if node.is_leader]
         if leading and max(leading) > self.led:
             self.led = max(leading)
             self.counts["leaders"] += 1
