--- a/spindleglade/backfill/planner.py
+++ b/spindleglade/backfill/planner.py
@@ -16,8 +16,8 @@
 
 import numpy as np
 
-from spindleglade.backfill.preempting import PreemptionMixin
-from spindleglade.backfill.reserving import ReservationMixin
+from spindleglade.backfill.preemption import PreemptionMixin
+from spindleglade.backfill.reservation import ReservationMixin
 from spindleglade.backfill.snapshot import (
     ExpectedRelease,
     JobView,
--- a/spindleglade/backfill/preempting.py
+++ b/spindleglade/backfill/preemption.py
@@ -6,7 +6,7 @@
 import numpy as np
 
 from spindleglade.backfill.arrays import Array
-from spindleglade.backfill.round_state import PlanningState
+from spindleglade.backfill.planning_state import PlanningState
 from spindleglade.backfill.snapshot import (
     CAPACITY_TOLERANCE,
     JobView,
--- a/spindleglade/backfill/reserving.py
+++ b/spindleglade/backfill/reservation.py
@@ -5,8 +5,8 @@
 import numpy as np
 
 from spindleglade.backfill.arrays import Array, Counts, Mask
+from spindleglade.backfill.planning_state import PlanningState
 from spindleglade.backfill.probability import Reservation
-from spindleglade.backfill.round_state import PlanningState
 from spindleglade.backfill.snapshot import CAPACITY_TOLERANCE, JobView, task_rows
 
 
--- a/spindleglade/backfill/test_planner.py
+++ b/spindleglade/backfill/test_planner.py
@@ -10,7 +10,7 @@
 from spindleglade.backfill.distributions import Bins, Predictor
 from spindleglade.backfill.planner import Planner, _PlanningPass
 from spindleglade.backfill.snapshot import JobView, MachineView, RunningTask, Snapshot
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from spindleglade.settings import Team
 
 NOW = seconds(1000)
--- a/spindleglade/backfill/test_urgency.py
+++ b/spindleglade/backfill/test_urgency.py
@@ -8,7 +8,7 @@
 
 from spindleglade.backfill.test_planner import job, machine, plan, started
 from spindleglade.backfill.urgency import ChainedJob, Urgency, urgencies
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 
 JOBS = st.lists(
     st.tuples(
--- a/spindleglade/cli.py
+++ b/spindleglade/cli.py
@@ -58,7 +58,7 @@
     from twisted.internet import reactor
     from twisted.python.log import PythonLoggingObserver
 
-    from spindleglade.app import run_controller
+    from spindleglade.controller.controller import run_controller
 
     PythonLoggingObserver("twisted").start()
     logging.getLogger("twisted").setLevel(logging.ERROR)
@@ -75,7 +75,7 @@
         import hcl2  # noqa: F401
         import twisted.internet.reactor  # noqa: F401
 
-        import spindleglade.app  # noqa: F401
+        import spindleglade.controller.controller  # noqa: F401
 
         return 0
     try:
--- a/spindleglade/app.py
+++ b/spindleglade/controller/controller.py
@@ -12,12 +12,15 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from spindleglade.clock import Clock, ReactorClock, seconds, sleep
+from spindleglade.controller.leader import Leader
 from spindleglade.fleet.client import CloudClient
-from spindleglade.fleet.types import MachineTypeCatalog
-from spindleglade.leader import Leader
+from spindleglade.fleet.machine_types import MachineTypeCatalog
+from spindleglade.http.connection_budget import ConnectionBudget
+from spindleglade.http.web import ConcurrencyLimiter, HttpClient, HttpResponse, Requester, http_server
 from spindleglade.leadership.election import Election, Term
-from spindleglade.leadership.links import (
+from spindleglade.leadership.monitor import LeadershipMonitor
+from spindleglade.leadership.peer_cancellations import PeerCancellationLog
+from spindleglade.leadership.peers import (
     HeartbeatRelayRequest,
     PeerHeartbeat,
     PeerNetwork,
@@ -25,11 +28,10 @@
     PeerUnreachableError,
     UserRequestForward,
 )
-from spindleglade.leadership.monitor import LeadershipMonitor
-from spindleglade.leadership.statements import PeerCancellationLog
+from spindleglade.runtime.background import run_forever
+from spindleglade.runtime.clock import Clock, ReactorClock, seconds, sleep
 from spindleglade.settings import OperatorSettings, Platform
 from spindleglade.settings.platform import split_address
-from spindleglade.sockets import ConnectionBudget
 from spindleglade.store.client import (
     Condition,
     NotAppliedError,
@@ -42,13 +44,11 @@
 from spindleglade.submissions.api import UserApi
 from spindleglade.submissions.records import JOBS, LEASE_RENEWALS, PREFIX, JobRecord, job_key
 from spindleglade.submissions.views import JobViews
-from spindleglade.tasks import run_forever
-from spindleglade.web import ConcurrencyLimiter, HttpClient, HttpResponse, Requester, http_server
 from spindleglade.workers.api import WorkerApi
-from spindleglade.workers.balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
-from spindleglade.workers.cancellation_bound import CancellationFreshness
+from spindleglade.workers.cancellation_freshness import CancellationFreshness
+from spindleglade.workers.heartbeat_balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
+from spindleglade.workers.heartbeat_relay import HeartbeatRelay
 from spindleglade.workers.messages import Heartbeat, HeartbeatResponse, decode_heartbeat
-from spindleglade.workers.relay import HeartbeatRelay
 
 log = logging.getLogger("spindleglade")
 
--- a/spindleglade/histories.py
+++ b/spindleglade/controller/history_writer.py
@@ -16,7 +16,7 @@
     encode_value,
 )
 from spindleglade.submissions.records import HISTORY
-from spindleglade.workers.cluster import ClusterState
+from spindleglade.workers.cluster_state import ClusterState
 
 log = logging.getLogger("spindleglade.leadership")
 
--- a/spindleglade/leader.py
+++ b/spindleglade/controller/leader.py
@@ -10,16 +10,19 @@
 
 from spindleglade.backfill.distributions import Bins, History, Predictor
 from spindleglade.backfill.planner import Planner
-from spindleglade.backfill.rounds import PlanningLoop
 from spindleglade.backfill.snapshot import Plan
-from spindleglade.clock import Clock, seconds, sleep
+from spindleglade.controller.history_writer import HistoryWriter
+from spindleglade.controller.pipelines import PipelineUpdater
+from spindleglade.controller.planning_loop import PlanningLoop
+from spindleglade.fleet.autoscaler import Autoscaler
 from spindleglade.fleet.client import CloudClient
-from spindleglade.fleet.manager import Autoscaler
-from spindleglade.fleet.types import MachineTypeCatalog
-from spindleglade.histories import HistoryWriter
+from spindleglade.fleet.machine_types import MachineTypeCatalog
+from spindleglade.http.web import ConcurrencyLimiter
 from spindleglade.leadership.election import Term
-from spindleglade.loop import PeriodicTask
-from spindleglade.pipelines import PipelineUpdater
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import Clock, seconds, sleep
+from spindleglade.runtime.log_throttle import LogThrottle
+from spindleglade.runtime.periodic_task import PeriodicTask
 from spindleglade.settings import OperatorSettings, Platform
 from spindleglade.store.client import (
     Entry,
@@ -45,15 +48,12 @@
     split_range_key,
 )
 from spindleglade.submissions.views import JobViews
-from spindleglade.tasks import run_in_background
-from spindleglade.throttle import LogThrottle
-from spindleglade.web import ConcurrencyLimiter
 from spindleglade.workers.attempts import StaleTokenError, WorkerPolicy
-from spindleglade.workers.cancellation_bound import CancellationFreshness
-from spindleglade.workers.cluster import ClusterState
-from spindleglade.workers.dispatch import CommandDispatcher
+from spindleglade.workers.cancellation_freshness import CancellationFreshness
+from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.command_dispatcher import CommandDispatcher
 from spindleglade.workers.messages import Heartbeat, HeartbeatResponse
-from spindleglade.workers.recorder import StateWriter
+from spindleglade.workers.state_writer import StateWriter
 
 log = logging.getLogger("spindleglade.leadership")
 
--- a/spindleglade/pipelines.py
+++ b/spindleglade/controller/pipelines.py
@@ -7,10 +7,10 @@
 
 from spindleglade.backfill.distributions import Predictor
 from spindleglade.backfill.urgency import ChainedJob, urgencies
-from spindleglade.clock import ZERO, Clock, seconds
+from spindleglade.runtime.clock import ZERO, Clock, seconds
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.attempts import ChainMember
-from spindleglade.workers.cluster import ClusterState
+from spindleglade.workers.cluster_state import ClusterState
 
 # How long changes of pipelines are gathered before priorities and deadlines are passed on again.
 URGENCY_DELAY = seconds(0.2)
--- a/spindleglade/backfill/rounds.py
+++ b/spindleglade/controller/planning_loop.py
@@ -10,9 +10,9 @@
 
 from spindleglade.backfill.planner import Planner
 from spindleglade.backfill.snapshot import Plan
-from spindleglade.clock import ZERO, Clock, sleep
-from spindleglade.loop import PeriodicTask
-from spindleglade.workers.cluster import ClusterState
+from spindleglade.runtime.clock import ZERO, Clock, sleep
+from spindleglade.runtime.periodic_task import PeriodicTask
+from spindleglade.workers.cluster_state import ClusterState
 
 log = logging.getLogger("spindleglade.backfill")
 
--- a/spindleglade/test_leader.py
+++ b/spindleglade/controller/test_leader.py
@@ -5,10 +5,11 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from spindleglade.clock import ManualClock, seconds
-from spindleglade.histories import HistoryWriter
-from spindleglade.leader import Leader
+from spindleglade.controller.history_writer import HistoryWriter
+from spindleglade.controller.leader import Leader
 from spindleglade.leadership.election import LEADER, Term
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.client import Committed, ConditionFailed, Entry, OutcomeUnknownError, encode_value
@@ -21,8 +22,7 @@
     range_key,
 )
 from spindleglade.submissions.views import JobViews
-from spindleglade.tasks import run_in_background
-from spindleglade.workers.test_cluster import TOKEN, make_cluster, spec
+from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
 from tests.deployment import Deployment, platform
 
 
--- a/spindleglade/fleet/manager.py
+++ b/spindleglade/fleet/autoscaler.py
@@ -12,7 +12,6 @@
 from functools import partial
 
 from spindleglade.backfill.snapshot import ExpectedRelease, Plan, UnplacedDemand, unclaimed_guarantee_cpus
-from spindleglade.clock import ZERO, Clock, seconds, sleep
 from spindleglade.fleet.client import (
     MAX_PROVISIONED_PER_REQUEST,
     MAX_TERMINATED_PER_REQUEST,
@@ -33,12 +32,13 @@
 )
 from spindleglade.fleet.messages import ListedMachine, MachineType, ProvisionRequest
 from spindleglade.fleet.on_demand import OnDemandPolicy
-from spindleglade.loop import PeriodicTask
+from spindleglade.http.web import ConnectionLimitError, NoResponseError
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import ZERO, Clock, seconds, sleep
+from spindleglade.runtime.periodic_task import PeriodicTask
 from spindleglade.settings.operator import FleetSettings, WorkerSettings
-from spindleglade.tasks import run_in_background
-from spindleglade.web import ConnectionLimitError, NoResponseError
 from spindleglade.workers.attempts import Machine
-from spindleglade.workers.cluster import ClusterState
+from spindleglade.workers.cluster_state import ClusterState
 
 log = logging.getLogger("spindleglade.fleet")
 
--- a/spindleglade/fleet/client.py
+++ b/spindleglade/fleet/client.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from spindleglade.clock import Clock, sleep
 from spindleglade.fleet.messages import (
     ListedMachine,
     MachinePage,
@@ -18,8 +17,9 @@
     ProvisionResponse,
     TerminateRequest,
 )
-from spindleglade.store.budget import TokenBucket
-from spindleglade.web import ClientResponse, NoResponseError, NotSentError, Requester
+from spindleglade.http.web import ClientResponse, NoResponseError, NotSentError, Requester
+from spindleglade.runtime.clock import Clock, sleep
+from spindleglade.store.token_bucket import TokenBucket
 
 MAX_PROVISIONED_PER_REQUEST = 50
 MAX_TERMINATED_PER_REQUEST = 100
--- a/spindleglade/fleet/types.py
+++ b/spindleglade/fleet/machine_types.py
@@ -8,9 +8,10 @@
 
 import msgspec
 
-from spindleglade.clock import Clock, seconds, sleep
 from spindleglade.fleet.client import CloudClient, CloudRequestRejectedError, CloudTimeoutError
 from spindleglade.fleet.messages import MachineType, MachineTypeList
+from spindleglade.runtime.background import run_forever
+from spindleglade.runtime.clock import Clock, seconds, sleep
 from spindleglade.store.client import (
     Committed,
     Condition,
@@ -23,7 +24,6 @@
 from spindleglade.store.replica import Replica
 from spindleglade.submissions.messages import MachineShape
 from spindleglade.submissions.records import TYPES
-from spindleglade.tasks import run_forever
 from spindleglade.workers.attempts import MachineTypeCapacity
 
 log = logging.getLogger("spindleglade.fleet")
--- a/spindleglade/fleet/on_demand.py
+++ b/spindleglade/fleet/on_demand.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 
 from spindleglade.backfill.snapshot import UnplacedDemand, is_best_effort
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from spindleglade.settings.operator import FleetSettings
 from spindleglade.settings.platform import Team
 
--- a/spindleglade/fleet/test_fleet.py
+++ b/spindleglade/fleet/test_fleet.py
@@ -11,7 +11,7 @@
 
 from spindleglade.backfill.snapshot import ExpectedRelease, Plan, UnplacedDemand
 from spindleglade.backfill.test_planner import job, machine
-from spindleglade.clock import ManualClock, seconds, sleep
+from spindleglade.fleet.autoscaler import Autoscaler
 from spindleglade.fleet.client import (
     CloudClient,
     CloudTimeoutError,
@@ -26,13 +26,13 @@
     add_soon_free_capacity,
     choose_provisioning,
 )
-from spindleglade.fleet.manager import Autoscaler
 from spindleglade.fleet.messages import ListedMachine, MachineType
+from spindleglade.http.web import ClientResponse
+from spindleglade.runtime.clock import ManualClock, seconds, sleep
 from spindleglade.settings import Team
 from spindleglade.settings.operator import FleetSettings, WorkerSettings
-from spindleglade.web import ClientResponse
 from spindleglade.workers.attempts import Machine
-from spindleglade.workers.test_cluster import make_cluster
+from spindleglade.workers.test_cluster_state import make_cluster
 
 SMALL = MachineType("s", 8.0, 32.0, 1.0, 0.3, 20.0, 50.0, 1.0, 0.0, ["a"])
 LARGE = MachineType("l", 32.0, 128.0, 4.2, 1.3, 30.0, 50.0, 1.0, 0.0, ["a"])
--- a/spindleglade/fleet/test_types.py
+++ b/spindleglade/fleet/test_machine_types.py
@@ -2,13 +2,13 @@
 
 import msgspec
 
-from spindleglade.clock import ManualClock
+from spindleglade.fleet.machine_types import MachineTypeCatalog, split_into_values
 from spindleglade.fleet.messages import MachineType, MachineTypeList
-from spindleglade.fleet.types import MachineTypeCatalog, split_into_values
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import ManualClock
 from spindleglade.settings.platform import NextStateLimits, StateLimits
 from spindleglade.store.client import Committed, encode_value
 from spindleglade.submissions.records import TYPES
-from spindleglade.tasks import run_in_background
 
 TYPES_OF_CLOUD = [
     MachineType(f"type-{number:02d}", 8.0, 32.0, 1.0, 0.3, 40.0, 100.0, 1.0, 0.0, ["a", "b"])
--- a/spindleglade/fleet/test_on_demand.py
+++ b/spindleglade/fleet/test_on_demand.py
@@ -6,8 +6,8 @@
 
 from spindleglade.backfill.snapshot import UnplacedDemand
 from spindleglade.backfill.test_planner import job
-from spindleglade.clock import seconds
 from spindleglade.fleet.on_demand import OnDemandPolicy
+from spindleglade.runtime.clock import seconds
 from spindleglade.settings import Team
 from spindleglade.settings.operator import FleetSettings
 
--- /dev/null
+++ b/spindleglade/http/__init__.py
@@ -0,0 +1,1 @@
+"""The HTTP client, the limits on connections, and the server."""
--- a/spindleglade/test_web.py
+++ b/spindleglade/http/test_http.py
@@ -6,10 +6,8 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from spindleglade.clock import ManualClock, seconds
-from spindleglade.sockets import ConnectionBudget
-from spindleglade.tasks import run_in_background
-from spindleglade.web import (
+from spindleglade.http.connection_budget import ConnectionBudget
+from spindleglade.http.web import (
     MAX_QUEUE_TIME,
     ClientResponse,
     ConcurrencyLimiter,
@@ -18,6 +16,8 @@
     _TrackedEndpoint,
     http_server,
 )
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import ManualClock, seconds
 
 
 class Slow:
--- a/spindleglade/web.py
+++ b/spindleglade/http/web.py
@@ -16,10 +16,10 @@
 from twisted.web.server import NOT_DONE_YET, Request, Site
 from zope.interface import implementer
 
-from spindleglade.clock import Clock
-from spindleglade.sockets import ConnectionBudget
+from spindleglade.http.connection_budget import ConnectionBudget
+from spindleglade.runtime.clock import Clock
 
-log = logging.getLogger("spindleglade.web")
+log = logging.getLogger("spindleglade.http")
 
 BODY_LIMIT = 64 * 1024
 
--- a/spindleglade/leadership/election.py
+++ b/spindleglade/leadership/election.py
@@ -12,7 +12,8 @@
 
 import msgspec
 
-from spindleglade.clock import Clock, sleep
+from spindleglade.runtime.background import run_forever, run_in_background
+from spindleglade.runtime.clock import Clock, sleep
 from spindleglade.store.client import (
     Committed,
     Condition,
@@ -26,7 +27,6 @@
 )
 from spindleglade.store.replica import Replica, StaleReplicaError
 from spindleglade.submissions.records import PREFIX
-from spindleglade.tasks import run_forever, run_in_background
 
 log = logging.getLogger("spindleglade.leadership")
 
--- a/spindleglade/leadership/monitor.py
+++ b/spindleglade/leadership/monitor.py
@@ -9,9 +9,9 @@
 from datetime import timedelta
 from typing import Protocol
 
-from spindleglade.clock import ZERO, Clock, seconds, sleep
 from spindleglade.leadership.election import Election
-from spindleglade.tasks import run_forever
+from spindleglade.runtime.background import run_forever
+from spindleglade.runtime.clock import ZERO, Clock, seconds, sleep
 
 log = logging.getLogger("spindleglade.leadership")
 
--- a/spindleglade/leadership/statements.py
+++ b/spindleglade/leadership/peer_cancellations.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from spindleglade.clock import Clock
+from spindleglade.runtime.clock import Clock
 
 
 @dataclass(slots=True)
--- a/spindleglade/leadership/links.py
+++ b/spindleglade/leadership/peers.py
@@ -17,10 +17,10 @@
 from twisted.internet.protocol import Factory
 from twisted.protocols.basic import Int32StringReceiver
 
-from spindleglade.clock import ZERO, Clock, sleep
-from spindleglade.decoding import decode
+from spindleglade.runtime.background import run_forever, run_in_background
+from spindleglade.runtime.clock import ZERO, Clock, sleep
+from spindleglade.runtime.decoding import decode
 from spindleglade.settings.platform import Peer, split_address
-from spindleglade.tasks import run_forever, run_in_background
 
 log = logging.getLogger("spindleglade.leadership")
 
--- a/spindleglade/leadership/test_leadership.py
+++ b/spindleglade/leadership/test_leadership.py
@@ -8,9 +8,8 @@
 from hypothesis import strategies as st
 from twisted.internet.defer import ensureDeferred
 
-from spindleglade.clock import ManualClock, seconds
 from spindleglade.leadership.election import LEADER, RETRY_SHARE, Election, LeaderRecord
-from spindleglade.leadership.links import (
+from spindleglade.leadership.peers import (
     HeartbeatRelayRequest,
     HeartbeatRelayResponse,
     PeerConnection,
@@ -20,6 +19,7 @@
     UserRequestForwardResponse,
     decode_message,
 )
+from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import Peer
 from spindleglade.store.client import Committed, Condition, ConditionFailed, NotAppliedError, RateLimitedError
 from tests.world import World
--- a/spindleglade/leadership/test_statements.py
+++ b/spindleglade/leadership/test_peer_cancellations.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from spindleglade.clock import ManualClock, seconds
-from spindleglade.leadership.statements import PeerCancellationLog
+from spindleglade.leadership.peer_cancellations import PeerCancellationLog
+from spindleglade.runtime.clock import ManualClock, seconds
 
 NODES = ("a", "b")
 
--- a/spindleglade/tasks.py
+++ b/spindleglade/runtime/background.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from spindleglade.clock import Clock
+from spindleglade.runtime.clock import Clock
 
 log = logging.getLogger("spindleglade")
 
--- a/spindleglade/throttle.py
+++ b/spindleglade/runtime/log_throttle.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from spindleglade.clock import Clock
+from spindleglade.runtime.clock import Clock
 
 
 class LogThrottle:
--- a/spindleglade/loop.py
+++ b/spindleglade/runtime/periodic_task.py
@@ -9,8 +9,8 @@
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
 
-from spindleglade.clock import Clock, seconds, sleep
-from spindleglade.tasks import run_in_background
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import Clock, seconds, sleep
 
 log = logging.getLogger("spindleglade")
 
--- a/spindleglade/test_loop.py
+++ b/spindleglade/runtime/test_periodic_task.py
@@ -4,8 +4,13 @@
 
 import pytest
 
-from spindleglade.clock import ZERO, ManualClock, seconds, sleep
-from spindleglade.loop import MAX_FAILURE_PAUSE, MAX_PASS_DURATION, STALLED_AFTER_FAILURES, PeriodicTask
+from spindleglade.runtime.clock import ZERO, ManualClock, seconds, sleep
+from spindleglade.runtime.periodic_task import (
+    MAX_FAILURE_PAUSE,
+    MAX_PASS_DURATION,
+    STALLED_AFTER_FAILURES,
+    PeriodicTask,
+)
 
 EVERY = seconds(1)
 
--- a/spindleglade/store/client.py
+++ b/spindleglade/store/client.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from spindleglade.clock import Clock, sleep
+from spindleglade.http.web import ClientResponse, NoResponseError, NotSentError, Requester
+from spindleglade.runtime.clock import Clock, sleep
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.budget import TokenBucket
-from spindleglade.web import ClientResponse, NoResponseError, NotSentError, Requester
+from spindleglade.store.token_bucket import TokenBucket
 
 # Share of the changes a second that one node may make by itself.
 LEADER_WRITE_SHARE = 0.7
--- a/spindleglade/store/replica.py
+++ b/spindleglade/store/replica.py
@@ -13,14 +13,14 @@
 
 from twisted.internet.defer import Deferred
 
-from spindleglade.clock import Clock, sleep
+from spindleglade.runtime.background import run_forever, run_in_background
+from spindleglade.runtime.clock import Clock, sleep
 from spindleglade.store.client import (
     NotAppliedError,
     OutcomeUnknownError,
     RevisionCompactedError,
     StateClient,
 )
-from spindleglade.tasks import run_forever, run_in_background
 
 log = logging.getLogger("spindleglade.store")
 
--- a/spindleglade/store/test_client.py
+++ b/spindleglade/store/test_client.py
@@ -4,7 +4,9 @@
 import pytest
 from twisted.internet.defer import Deferred
 
-from spindleglade.clock import ManualClock, seconds
+from spindleglade.http.web import ClientResponse
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import NextStateLimits, StateLimits
 from spindleglade.store.client import (
     LOWER_RATES_DURATION,
@@ -19,8 +21,6 @@
     encode_value,
 )
 from spindleglade.store.replica import Replica
-from spindleglade.tasks import run_in_background
-from spindleglade.web import ClientResponse
 from tests.standins import StateService
 
 LIMITS = StateLimits(100.0, 40.0, 16.0, 12, NextStateLimits(50.0, 10.0, 2.0, 4))
--- a/spindleglade/store/test_store.py
+++ b/spindleglade/store/test_store.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 from twisted.internet.defer import Deferred
 
-from spindleglade.clock import ManualClock, seconds
-from spindleglade.store.budget import TokenBucket
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.store.client import Change, Entry, Listing, NotAppliedError, RevisionCompactedError
 from spindleglade.store.replica import Replica, StaleReplicaError
-from spindleglade.tasks import run_in_background
+from spindleglade.store.token_bucket import TokenBucket
 
 OPS = st.lists(
     st.tuples(st.sampled_from(["put", "remove"]), st.sampled_from("abc"), st.integers(0, 9)), max_size=30
--- a/spindleglade/store/budget.py
+++ b/spindleglade/store/token_bucket.py
@@ -7,7 +7,7 @@
 
 from datetime import timedelta
 
-from spindleglade.clock import Clock
+from spindleglade.runtime.clock import Clock
 
 
 class TokenBucket:
--- a/spindleglade/submissions/api.py
+++ b/spindleglade/submissions/api.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from spindleglade.http.web import BODY_LIMIT, HttpResponse, encode_json
 from spindleglade.settings.platform import Team
 from spindleglade.store.client import (
     Committed,
@@ -37,7 +38,6 @@
 )
 from spindleglade.submissions.records import JobRecord, final_record, job_key, tasks_per_range
 from spindleglade.submissions.views import JobView, JobViews
-from spindleglade.web import BODY_LIMIT, HttpResponse, encode_json
 
 log = logging.getLogger("spindleglade.submissions")
 
--- a/spindleglade/submissions/messages.py
+++ b/spindleglade/submissions/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from spindleglade.decoding import decode
+from spindleglade.runtime.decoding import decode
 from spindleglade.settings.platform import Team
 
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=500)]
--- a/spindleglade/submissions/test_dependencies.py
+++ b/spindleglade/submissions/test_dependencies.py
@@ -17,7 +17,7 @@
 from spindleglade.submissions.records import JobRecord, dependency_key, job_key
 from spindleglade.submissions.test_submissions import Service, encode
 from spindleglade.submissions.views import JobViews
-from spindleglade.workers.test_cluster import spec
+from spindleglade.workers.test_cluster_state import spec
 
 SIZE = 6
 PLANS = st.tuples(
--- a/spindleglade/submissions/test_submissions.py
+++ b/spindleglade/submissions/test_submissions.py
@@ -8,6 +8,7 @@
 from hypothesis import strategies as st
 from twisted.internet.defer import Deferred
 
+from spindleglade.runtime.background import run_in_background
 from spindleglade.settings import Team
 from spindleglade.settings.platform import NextStateLimits, StateLimits
 from spindleglade.store.client import (
@@ -39,7 +40,6 @@
     tasks_per_range,
 )
 from spindleglade.submissions.views import JobViews
-from spindleglade.tasks import run_in_background
 
 GOOD = {
     "ref": "job-000412",
--- a/spindleglade/submissions/test_pieces.py
+++ b/spindleglade/submissions/test_task_ranges.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from spindleglade.submissions.pieces import TaskRanges
 from spindleglade.submissions.records import overflow_range_key, range_key
+from spindleglade.submissions.task_ranges import TaskRanges
 
 TASKS, CHUNK = 23, 8
 FIRSTS = st.sets(st.integers(1, TASKS - 1).filter(lambda first: first % CHUNK))
--- a/spindleglade/submissions/views.py
+++ b/spindleglade/submissions/views.py
@@ -8,7 +8,6 @@
 
 from spindleglade.submissions.dependencies import DependencyGraph, DependencyOutcome
 from spindleglade.submissions.dependency_lists import DependencyLists
-from spindleglade.submissions.pieces import TaskRanges
 from spindleglade.submissions.records import (
     DEPENDENCIES,
     JOBS,
@@ -20,6 +19,7 @@
     split_overflow_range_key,
     split_range_key,
 )
+from spindleglade.submissions.task_ranges import TaskRanges
 
 
 class JobView(msgspec.Struct):
--- a/spindleglade/workers/api.py
+++ b/spindleglade/workers/api.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from spindleglade.clock import Clock
+from spindleglade.http.web import HttpResponse
+from spindleglade.runtime.clock import Clock
 from spindleglade.submissions.views import JobViews
-from spindleglade.web import HttpResponse
-from spindleglade.workers.balancer import HeartbeatBalancer, IsolationDetector
-from spindleglade.workers.cancellation_bound import CancellationFreshness
+from spindleglade.workers.cancellation_freshness import CancellationFreshness
+from spindleglade.workers.heartbeat_balancer import HeartbeatBalancer, IsolationDetector
 from spindleglade.workers.messages import Heartbeat, HeartbeatResponse, decode_heartbeat, split_task
 
 log = logging.getLogger("spindleglade.workers")
--- a/spindleglade/workers/attempts.py
+++ b/spindleglade/workers/attempts.py
@@ -9,8 +9,8 @@
 
 from spindleglade.backfill.snapshot import MachineView
 from spindleglade.submissions.messages import RANK, Submission
-from spindleglade.submissions.pieces import TaskRanges
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, consecutive_runs
+from spindleglade.submissions.task_ranges import TaskRanges
 from spindleglade.workers.messages import TaskStatus, task_name
 
 ZERO = timedelta(0)
--- a/spindleglade/workers/cancellation_bound.py
+++ b/spindleglade/workers/cancellation_freshness.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from spindleglade.clock import Clock
+from spindleglade.runtime.clock import Clock
 
 
 class CancellationFreshness:
--- a/spindleglade/workers/cluster.py
+++ b/spindleglade/workers/cluster_state.py
@@ -14,9 +14,9 @@
 from datetime import timedelta
 
 from spindleglade.workers.attempts import Machine
-from spindleglade.workers.intake import HeartbeatReconciliation
-from spindleglade.workers.placing import PlanningBridge
-from spindleglade.workers.recording import Persistence
+from spindleglade.workers.heartbeat_reconciliation import HeartbeatReconciliation
+from spindleglade.workers.persistence import Persistence
+from spindleglade.workers.planning_bridge import PlanningBridge
 
 log = logging.getLogger("spindleglade.workers")
 
--- a/spindleglade/workers/dispatch.py
+++ b/spindleglade/workers/command_dispatcher.py
@@ -6,12 +6,18 @@
 
 import msgspec
 
-from spindleglade.clock import Clock
-from spindleglade.tasks import run_in_background
-from spindleglade.web import ClientResponse, ConnectionLimitError, NoResponseError, NotSentError, Requester
+from spindleglade.http.web import (
+    ClientResponse,
+    ConnectionLimitError,
+    NoResponseError,
+    NotSentError,
+    Requester,
+)
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import Clock
 from spindleglade.workers.attempts import Machine, StaleTokenError
-from spindleglade.workers.cancellation_bound import CancellationFreshness
-from spindleglade.workers.cluster import ClusterState
+from spindleglade.workers.cancellation_freshness import CancellationFreshness
+from spindleglade.workers.cluster_state import ClusterState
 from spindleglade.workers.messages import Command, CommandBatch, Heartbeat, decode_heartbeat
 
 log = logging.getLogger("spindleglade.workers")
--- a/spindleglade/workers/balancer.py
+++ b/spindleglade/workers/heartbeat_balancer.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from spindleglade.clock import Clock
+from spindleglade.runtime.clock import Clock
 
 LEADER_WEIGHT = 0.5
 # Workers moved for each word from a sibling.
--- a/spindleglade/workers/intake.py
+++ b/spindleglade/workers/heartbeat_reconciliation.py
@@ -13,8 +13,8 @@
     StaleTokenError,
     grace_period_s,
 )
+from spindleglade.workers.command_selection import CommandSelection
 from spindleglade.workers.messages import Command, Heartbeat, TaskStatus, split_task
-from spindleglade.workers.orders import CommandSelection
 
 log = logging.getLogger("spindleglade.workers")
 
--- a/spindleglade/workers/relay.py
+++ b/spindleglade/workers/heartbeat_relay.py
@@ -9,8 +9,8 @@
 
 from twisted.internet.defer import Deferred
 
-from spindleglade.clock import Clock
-from spindleglade.tasks import run_in_background
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import Clock
 
 # A message between siblings is well below its limit with this, whatever the last report adds.
 MAX_MESSAGE_BYTES = 256 * 1024
--- a/spindleglade/workers/messages.py
+++ b/spindleglade/workers/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from spindleglade.decoding import decode
+from spindleglade.runtime.decoding import decode
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
--- a/spindleglade/workers/recorder.py
+++ b/spindleglade/workers/state_writer.py
@@ -11,9 +11,9 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from spindleglade.clock import ZERO, Clock, seconds, sleep
 from spindleglade.leadership.election import LEADER, Term
-from spindleglade.loop import PeriodicTask
+from spindleglade.runtime.clock import ZERO, Clock, seconds, sleep
+from spindleglade.runtime.periodic_task import PeriodicTask
 from spindleglade.store.client import (
     Committed,
     Condition,
@@ -29,7 +29,7 @@
 )
 from spindleglade.submissions.records import JOBS, JobRecord, job_key
 from spindleglade.workers.attempts import WriteBatch
-from spindleglade.workers.cluster import ClusterState
+from spindleglade.workers.cluster_state import ClusterState
 
 log = logging.getLogger("spindleglade.workers")
 
--- a/spindleglade/workers/test_cluster.py
+++ b/spindleglade/workers/test_cluster_state.py
@@ -8,12 +8,12 @@
 
 from spindleglade.backfill.distributions import Bins, Predictor
 from spindleglade.backfill.snapshot import Placement, Plan, Preemption
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from spindleglade.settings import Team
 from spindleglade.submissions.messages import Submission
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord
 from spindleglade.workers.attempts import PLACED, WAITING, MachineTypeCapacity, StaleTokenError, WorkerPolicy
-from spindleglade.workers.cluster import ClusterState
+from spindleglade.workers.cluster_state import ClusterState
 from spindleglade.workers.messages import Command, Heartbeat, TaskStatus, split_task
 
 TOKEN = 7
--- a/spindleglade/workers/test_dispatch.py
+++ b/spindleglade/workers/test_command_dispatcher.py
@@ -5,12 +5,12 @@
 import msgspec
 import pytest
 
-from spindleglade.clock import ManualClock, seconds
-from spindleglade.web import ConnectionLimitError, NoResponseError, NotSentError
-from spindleglade.workers.cancellation_bound import CancellationFreshness
-from spindleglade.workers.dispatch import CommandDispatcher
+from spindleglade.http.web import ConnectionLimitError, NoResponseError, NotSentError
+from spindleglade.runtime.clock import ManualClock, seconds
+from spindleglade.workers.cancellation_freshness import CancellationFreshness
+from spindleglade.workers.command_dispatcher import CommandDispatcher
 from spindleglade.workers.messages import CommandBatch
-from spindleglade.workers.test_cluster import START, Harness
+from spindleglade.workers.test_cluster_state import START, Harness
 
 
 def make_dispatcher(harness, http, proven=lambda: timedelta(0)):
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -6,19 +6,19 @@
 import pytest
 
 from spindleglade.backfill.snapshot import Placement, Plan
-from spindleglade.clock import ManualClock, seconds
-from spindleglade.leader import Leader
+from spindleglade.controller.leader import Leader
+from spindleglade.controller.pipelines import PipelineUpdater
 from spindleglade.leadership.election import Term
-from spindleglade.pipelines import PipelineUpdater
+from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.store.client import Entry, Listing, encode_value
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, job_key
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.attempts import WAITING
 from spindleglade.workers.messages import Command
-from spindleglade.workers.recorder import StateWriter
-from spindleglade.workers.test_cluster import RULES, TOKEN, Harness, spec
-from spindleglade.workers.test_recorder import Store
+from spindleglade.workers.state_writer import StateWriter
+from spindleglade.workers.test_cluster_state import RULES, TOKEN, Harness, spec
+from spindleglade.workers.test_state_writer import Store
 from tests.deployment import Deployment, platform
 
 
--- a/spindleglade/workers/test_reports.py
+++ b/spindleglade/workers/test_heartbeats.py
@@ -8,16 +8,16 @@
 from hypothesis import strategies as st
 from twisted.internet.defer import Deferred, ensureDeferred
 
-from spindleglade.clock import ManualClock, seconds
+from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.store.client import encode_value
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, job_key, range_key
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.api import WorkerApi
-from spindleglade.workers.balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
-from spindleglade.workers.cancellation_bound import CancellationFreshness
+from spindleglade.workers.cancellation_freshness import CancellationFreshness
+from spindleglade.workers.heartbeat_balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
+from spindleglade.workers.heartbeat_relay import HeartbeatRelay
 from spindleglade.workers.messages import Heartbeat, decode_heartbeat
-from spindleglade.workers.relay import HeartbeatRelay
-from spindleglade.workers.test_cluster import spec
+from spindleglade.workers.test_cluster_state import spec
 
 LEASE, REPORT = seconds(10), seconds(1)
 
--- a/spindleglade/workers/test_reasons.py
+++ b/spindleglade/workers/test_reasons.py
@@ -3,12 +3,12 @@
 import pytest
 
 from spindleglade.backfill.snapshot import Placement, Plan
-from spindleglade.clock import ManualClock, seconds
+from spindleglade.runtime.clock import ManualClock, seconds
+from spindleglade.runtime.log_throttle import LogThrottle
 from spindleglade.submissions.records import JobRecord
-from spindleglade.throttle import LogThrottle
 from spindleglade.workers.attempts import MachineTypeCapacity
 from spindleglade.workers.reasons import MachineUnusableReason, PendingReason
-from spindleglade.workers.test_cluster import Harness, spec
+from spindleglade.workers.test_cluster_state import Harness, spec
 
 
 def changed(**fields):
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_splitting.py
@@ -7,21 +7,21 @@
 from hypothesis.stateful import rule
 
 from spindleglade.backfill.snapshot import Placement, Plan
-from spindleglade.clock import ManualClock, seconds
-from spindleglade.leader import Leader
+from spindleglade.controller.leader import Leader
+from spindleglade.controller.test_leader import Learner
+from spindleglade.http.web import ClientResponse
 from spindleglade.leadership.election import LEADER, Term
+from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import NextStateLimits, StateLimits
 from spindleglade.store.client import StateClient
 from spindleglade.submissions.records import JobRecord, job_key, range_key
 from spindleglade.submissions.views import JobViews
-from spindleglade.test_leader import Learner
-from spindleglade.web import ClientResponse
 from spindleglade.workers.attempts import DONE
 from spindleglade.workers.messages import Heartbeat, split_task
-from spindleglade.workers.recorder import StateWriter
-from spindleglade.workers.test_cluster import TOKEN, make_cluster, spec
-from spindleglade.workers.test_recorder import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
+from spindleglade.workers.state_writer import StateWriter
+from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
+from spindleglade.workers.test_state_writer import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
 from tests.deployment import Deployment, platform
 from tests.standins import StateService
 
--- a/spindleglade/workers/test_recorder.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -8,9 +8,11 @@
 from twisted.internet.defer import Deferred
 
 from spindleglade.backfill.snapshot import Placement, Plan
-from spindleglade.clock import ManualClock, seconds
-from spindleglade.leader import Leader
+from spindleglade.controller.leader import Leader
+from spindleglade.controller.test_leader import Learner
+from spindleglade.http.web import ClientResponse, NoResponseError
 from spindleglade.leadership.election import LEADER, Term
+from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.client import (
@@ -33,11 +35,9 @@
     range_key,
 )
 from spindleglade.submissions.views import JobViews
-from spindleglade.test_leader import Learner
-from spindleglade.web import ClientResponse, NoResponseError
 from spindleglade.workers.messages import Heartbeat, TaskStatus
-from spindleglade.workers.recorder import StateWriter
-from spindleglade.workers.test_cluster import TOKEN, make_cluster, spec
+from spindleglade.workers.state_writer import StateWriter
+from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
 from tests.deployment import Deployment, platform
 from tests.standins import StateService
 
--- a/spindleglade/workers/test_recorder_errors.py
+++ b/spindleglade/workers/test_state_writer_errors.py
@@ -4,15 +4,15 @@
 import pytest
 
 from spindleglade.backfill.snapshot import Placement, Plan
-from spindleglade.clock import ManualClock, seconds
 from spindleglade.leadership.election import Term
+from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.store.client import Put, ValueTooLargeError, encode_value
 from spindleglade.submissions.records import JobRecord, job_key, range_key
 from spindleglade.workers.attempts import DONE
 from spindleglade.workers.messages import Heartbeat
-from spindleglade.workers.recorder import StateWriter
-from spindleglade.workers.test_cluster import TOKEN, make_cluster, spec
-from spindleglade.workers.test_recorder import Store
+from spindleglade.workers.state_writer import StateWriter
+from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
+from spindleglade.workers.test_state_writer import Store
 
 # Jobs with a start to be recorded, one that has ended, and one that is over and whose chunk is to go.
 STARTING = ("job-1", "job-2", "job-3")
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from spindleglade.settings import Platform
 
 CANCEL = seconds(20)
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -2,7 +2,7 @@
 
 from hypothesis import strategies as st
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.deployment import CANCEL
 from tests.world import World
 
--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -13,7 +13,7 @@
 import time
 from datetime import timedelta
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.deployment import Deployment
 from tests.world import World
 
--- a/tests/liveness.py
+++ b/tests/liveness.py
@@ -3,11 +3,11 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.rules import OVER
 
 if TYPE_CHECKING:
-    from spindleglade.app import Controller
+    from spindleglade.controller.controller import Controller
     from tests.world import World
 
 # How long, once there is no trouble, no controller may lead that is entitled to start and to rent.
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,8 +13,8 @@
 from twisted.internet.defer import Deferred
 from twisted.web.server import Site
 
-from spindleglade.clock import ReactorClock, seconds
-from spindleglade.web import HttpClient, HttpResponse, NoResponseError, RequestResource
+from spindleglade.http.web import HttpClient, HttpResponse, NoResponseError, RequestResource
+from spindleglade.runtime.clock import ReactorClock, seconds
 from tests.deployment import TEAMS, TYPES, description
 from tests.standins import Cloud, StateService, Worker
 
--- a/tests/pipelines.py
+++ b/tests/pipelines.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import Any
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.rules import OVER
 from tests.world import World
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred
 
-from spindleglade.clock import ManualClock, seconds
+from spindleglade.runtime.clock import ManualClock, seconds
 from tests.standins import Reply
 from tests.versions import Version
 
@@ -61,9 +61,9 @@
 
     def __init__(self, world: "World", name: str, life: LifeClock, version: Version) -> None:
         self._world, self._name, self._life = world, name, life
-        self._no_response = version.named("web", "NoResponseError")
-        self._not_sent = version.named("web", "NotSentError")
-        self._response = version.named("web", "ClientResponse")
+        self._no_response = version.named("http.web", "NoResponseError")
+        self._not_sent = version.named("http.web", "NotSentError")
+        self._response = version.named("http.web", "ClientResponse")
 
     async def request(
         self,
--- a/tests/production_names.py
+++ b/tests/production_names.py
@@ -11,10 +11,10 @@
 
 # Modules and names of the present code, and what production calls them.
 MODULES = {
-    "app": "app",
-    "leadership.links": "leadership.links",
-    "sockets": "sockets",
-    "web": "web",
+    "controller.controller": "app",
+    "http.connection_budget": "sockets",
+    "http.web": "web",
+    "leadership.peers": "leadership.links",
 }
 NAMES = {
     "ClientResponse": "Response",
--- a/tests/production_writer.py
+++ b/tests/production_writer.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests import production
 from tests.standins import StateService, encode
 from tests.world import World
--- a/tests/record_production.py
+++ b/tests/record_production.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from spindleglade.clock import seconds
-from spindleglade.leadership.links import Message
+from spindleglade.leadership.peers import Message
+from spindleglade.runtime.clock import seconds
 from tests import recorded_day as day
 from tests.production import COMMIT, HISTORY, LEADER, TASKS, TOKEN, TYPES, VOUCHED
 from tests.standins import Reply, Worker
--- a/tests/recorded_day.py
+++ b/tests/recorded_day.py
@@ -11,7 +11,7 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.deployment import Deployment
 from tests.standins import Machine, Task, Worker
 from tests.world import World
--- a/tests/service_rules.py
+++ b/tests/service_rules.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, Any
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.deployment import size
 from tests.rules import OVER
 from tests.standins import Machine
--- a/tests/sibling_links.py
+++ b/tests/sibling_links.py
@@ -4,8 +4,8 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from spindleglade.clock import seconds, sleep
-from spindleglade.leadership.links import Message, PeerConnection, PeerNetwork
+from spindleglade.leadership.peers import Message, PeerConnection, PeerNetwork
+from spindleglade.runtime.clock import seconds, sleep
 from tests.processes import LifeClock
 
 if TYPE_CHECKING:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -16,7 +16,7 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from spindleglade.clock import Clock, seconds
+from spindleglade.runtime.clock import Clock, seconds
 
 encode, decode = msgspec.json.encode, msgspec.json.decode
 Reply = tuple[int, bytes]
--- a/tests/test_both_versions.py
+++ b/tests/test_both_versions.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.deployment import Deployment
 from tests.faults import FAULTS, do
 from tests.pipelines import Pipelines, chain, diamond, fan_in
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -3,8 +3,8 @@
 
 import pytest
 
-from spindleglade.clock import seconds
-from spindleglade.tasks import run_in_background
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import seconds
 from tests.deployment import CANCEL
 from tests.world import World
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.faults import FAULTS, do
 from tests.production import HISTORY, JOBS, TASKS, VOUCHED, decode_record, split_chunk_key
 from tests.recorded_day import LARGE_ARRAY, RECORDED, recorded_world
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -7,11 +7,11 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from spindleglade.clock import seconds
-from spindleglade.fleet.manager import Autoscaler
-from spindleglade.leader import Leader
+from spindleglade.controller.leader import Leader
+from spindleglade.fleet.autoscaler import Autoscaler
+from spindleglade.runtime.clock import seconds
 from spindleglade.store.client import NotAppliedError, StateClient
-from spindleglade.workers.cluster import ClusterState
+from spindleglade.workers.cluster_state import ClusterState
 from tests.deployment import Deployment
 from tests.faults import FAULTS, do
 from tests.liveness import LEADS_WITHIN, STARTS_WITHIN
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from spindleglade.clock import seconds
-from spindleglade.tasks import run_in_background
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import seconds
 from tests.deployment import CANCEL, Deployment
 from tests.world import World
 
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -25,11 +25,12 @@
 import spindleglade
 from spindleglade import cli
 from spindleglade.backfill.distributions import History
-from spindleglade.clock import ZERO, ManualClock
 from spindleglade.fleet import messages as cloud
 from spindleglade.fleet.client import CloudClient
-from spindleglade.fleet.types import MORE_TYPES
-from spindleglade.leadership import election, links
+from spindleglade.fleet.machine_types import MORE_TYPES
+from spindleglade.http.web import HEARTBEAT_PATH, ClientResponse, HttpResponse
+from spindleglade.leadership import election, peers
+from spindleglade.runtime.clock import ZERO, ManualClock
 from spindleglade.settings import operator, platform
 from spindleglade.settings.problem import SettingsError
 from spindleglade.store import client as store
@@ -39,12 +40,11 @@
 from spindleglade.submissions import records, views
 from spindleglade.submissions.acceptance import acceptance_writes
 from spindleglade.submissions.api import UserApi
-from spindleglade.submissions.pieces import TaskRanges
-from spindleglade.web import HEARTBEAT_PATH, ClientResponse, HttpResponse
+from spindleglade.submissions.task_ranges import TaskRanges
 from spindleglade.workers import messages as workers
 from spindleglade.workers.api import WorkerApi
-from spindleglade.workers.balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
-from spindleglade.workers.cancellation_bound import CancellationFreshness
+from spindleglade.workers.cancellation_freshness import CancellationFreshness
+from spindleglade.workers.heartbeat_balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
 
 
 class Form(NamedTuple):
@@ -85,11 +85,11 @@
     "store: delete": Form(store.Delete),
     "store: transaction": Form(store._TransactionRequest, encode_only=True),
     "store: lease request": Form(store._LeaseRequest),
-    "controllers: ping": Form(links.PeerHeartbeat, msgspec.msgpack),
-    "controllers: relay": Form(links.HeartbeatRelayRequest, msgspec.msgpack),
-    "controllers: relayed": Form(links.HeartbeatRelayResponse, msgspec.msgpack),
-    "controllers: forward": Form(links.UserRequestForward, msgspec.msgpack),
-    "controllers: forwarded": Form(links.UserRequestForwardResponse, msgspec.msgpack),
+    "controllers: ping": Form(peers.PeerHeartbeat, msgspec.msgpack),
+    "controllers: relay": Form(peers.HeartbeatRelayRequest, msgspec.msgpack),
+    "controllers: relayed": Form(peers.HeartbeatRelayResponse, msgspec.msgpack),
+    "controllers: forward": Form(peers.UserRequestForward, msgspec.msgpack),
+    "controllers: forwarded": Form(peers.UserRequestForwardResponse, msgspec.msgpack),
     "records: leader": Form(election.LeaderRecord),
     "records: token": Form(election.TokenRecord),
     "records: job": Form(records.JobRecord),
@@ -493,7 +493,7 @@
 @pytest.mark.parametrize("label", [label for label in FORMS if label.startswith("controllers: ")])
 def test_controllers_tell_their_messages_apart(label: str) -> None:
     data = bytes.fromhex(pinned("messages", label)["full"])
-    assert type(links.decode_message(data)) is FORMS[label].type
+    assert type(peers.decode_message(data)) is FORMS[label].type
 
 
 @pytest.mark.parametrize("label", PINS["keys"])
--- a/tests/test_pipeline_meetings.py
+++ b/tests/test_pipeline_meetings.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.deployment import CANCEL, Deployment
 from tests.pipelines import Pipelines, chain, diamond, fan_in, fan_out
 from tests.recorded_day import answers_everywhere
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spindleglade.clock import seconds
-from spindleglade.tasks import run_in_background
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import seconds
 from tests.deployment import CANCEL, Deployment
 from tests.faults import FAULTS, do
 from tests.pipelines import Pipelines, chain, diamond, fan_in, fan_out
--- a/tests/test_pipelines_after_roll.py
+++ b/tests/test_pipelines_after_roll.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.deployment import Deployment
 from tests.pipelines import Pipelines, chain, diamond, fan_out
 from tests.production_writer import ProductionWriter
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -4,9 +4,9 @@
 import pytest
 
 from spindleglade.backfill.distributions import History
-from spindleglade.clock import seconds
 from spindleglade.fleet.messages import MachineTypeList
-from spindleglade.leadership import election, links
+from spindleglade.leadership import election, peers
+from spindleglade.runtime.clock import seconds
 from spindleglade.submissions import records
 from tests import production, versions
 from tests.deployment import description
@@ -38,11 +38,11 @@
 
 # The present messages between controllers, and what production calls them.
 PRODUCTION_MESSAGES = {
-    links.PeerHeartbeat: "Ping",
-    links.HeartbeatRelayRequest: "Relay",
-    links.HeartbeatRelayResponse: "Relayed",
-    links.UserRequestForward: "Forward",
-    links.UserRequestForwardResponse: "Forwarded",
+    peers.PeerHeartbeat: "Ping",
+    peers.HeartbeatRelayRequest: "Relay",
+    peers.HeartbeatRelayResponse: "Relayed",
+    peers.UserRequestForward: "Forward",
+    peers.UserRequestForwardResponse: "Forwarded",
 }
 
 
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize("kind", sorted(MESSAGES))
 def test_recorded_messages_are_read(kind):
-    message = links.decode_message(MESSAGES[kind])
+    message = peers.decode_message(MESSAGES[kind])
     old = production.decode_message(MESSAGES[kind])
     assert PRODUCTION_MESSAGES[type(message)] == kind
     assert_same_message(message, old)
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests import production
 from tests.deployment import description
 from tests.production_writer import ConditionFailed, ProductionWriter
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -3,10 +3,10 @@
 
 import pytest
 
-from spindleglade.clock import seconds
-from spindleglade.leadership.links import PeerHeartbeat
+from spindleglade.leadership.peers import PeerHeartbeat
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import seconds
 from spindleglade.settings.operator import LeadershipSettings
-from spindleglade.tasks import run_in_background
 from tests.test_meetings import ROOMY, settle
 from tests.world import Deployment, World
 
--- a/tests/test_smaller_values.py
+++ b/tests/test_smaller_values.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.operator import BackfillSettings
 from spindleglade.submissions.records import HISTORY, JOBS, LEASE_RENEWALS
--- a/tests/test_whole_fleet.py
+++ b/tests/test_whole_fleet.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from pathlib import Path
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.deployment import Deployment
 from tests.world import World
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spindleglade.clock import seconds
-from spindleglade.tasks import run_in_background
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import seconds
 from tests.faults import FAULTS, do
 from tests.standins import encode
 from tests.world import World
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from spindleglade.clock import seconds
+from spindleglade.runtime.clock import seconds
 from tests.rules import OVER
 from tests.world import World
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -11,12 +11,12 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from spindleglade.app import Controller
-from spindleglade.clock import ManualClock, seconds
-from spindleglade.leadership.links import Message, PeerNetwork
+from spindleglade.controller.controller import Controller
+from spindleglade.http.connection_budget import ConnectionBudget
+from spindleglade.leadership.peers import Message, PeerNetwork
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
-from spindleglade.sockets import ConnectionBudget
-from spindleglade.tasks import run_in_background
 from tests.deployment import CANCEL, TYPES, Deployment, description, platform_settings
 from tests.liveness import LivenessRules
 from tests.processes import Errors, LifeClock, SimHttp
@@ -157,7 +157,7 @@
 
         def connect(hello: Any, relay: Any, forward: Any, saw: Any, ended: Any) -> PeerNetwork:
             # Nobody is told of ended processes: successors wait for the lease, which is harder.
-            network = version.named("leadership.links", "PeerNetwork")(
+            network = version.named("leadership.peers", "PeerNetwork")(
                 None,
                 life,
                 platform.siblings if version.is_production else platform.peers,
@@ -177,15 +177,15 @@
             await waiter
             return work(*args)
 
-        sockets = version.named("sockets", "ConnectionBudget")(self.at.sockets)
+        sockets = version.named("http.connection_budget", "ConnectionBudget")(self.at.sockets)
         self.sockets[name] = viewed(sockets)
         http = SimHttp(self, name, life, version)
-        process = version.named("app", "Controller")(
+        process = version.named("controller.controller", "Controller")(
             platform,
             version.module("settings").OperatorSettings() if version.is_production else self.settings,
             life,
             http,
-            version.named("web", "ConcurrencyLimiter")(http, life, sockets),
+            version.named("http.web", "ConcurrencyLimiter")(http, life, sockets),
             connect,
             compute,
         )
