--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -375,6 +375,9 @@
     """What is accepted there, with every limit on it. Structs are told by their labels."""
     if isinstance(info, msgspec.inspect.StructType):
         return LABELS[info.cls]
+    if isinstance(info, msgspec.inspect.EnumType):
+        # An enumeration accepts its values, as the literals did that it stands for.
+        return {"kind": "LiteralType", "values": sorted(member.value for member in info.cls)}
     if isinstance(info, msgspec.inspect.Type):
         parts = {name: describe_type(getattr(info, name)) for name in info.__struct_fields__}
         limits = {name: part for name, part in parts.items() if part is not None}
