--- a/spindleglade/controller/test_leader.py
+++ b/spindleglade/controller/test_leader.py
@@ -23,7 +23,7 @@
 )
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
-from tests.deployment import Deployment, platform
+from tests.deployment_config import DeploymentConfig, platform
 
 
 class Store:
@@ -73,7 +73,7 @@
     deposed = []
     leader = Leader(
         Term(TOKEN, 5, 1),
-        platform(0, Deployment()),
+        platform(0, DeploymentConfig()),
         OperatorSettings(),
         ManualClock(),
         None,
--- a/spindleglade/leadership/test_leadership.py
+++ b/spindleglade/leadership/test_leadership.py
@@ -22,7 +22,7 @@
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import Peer
 from spindleglade.store.client import Committed, Condition, ConditionFailed, NotAppliedError, RateLimitedError
-from tests.world import World
+from tests.simulated_deployment import SimulatedDeployment
 
 numbers = st.integers(0, (1 << 63) - 1)
 messages = st.one_of(
@@ -74,7 +74,7 @@
     """Kills, outages and lost leases: at no time do two nodes hold the leader key, a token is never given
     twice, and a leader is there again once all is well."""
     rng = random.Random(seed)
-    world = World(seed)
+    deployment = SimulatedDeployment(seed)
     won: list[int] = []
 
     def watch(node):
@@ -86,59 +86,59 @@
 
         node.election._on_elected = note
 
-    for node in world.nodes.values():
+    for node in deployment.nodes.values():
         watch(node)
     for _ in range(6):
-        world.run(seconds(rng.uniform(1, 5)))
+        deployment.run(seconds(rng.uniform(1, 5)))
         trouble = rng.choice(["kill", "outage", "refuse"])
-        leader = world.leader()
+        leader = deployment.leader()
         if trouble == "kill" and leader is not None:
-            world.kill_node(leader)
-            world.run(seconds(rng.uniform(0.1, 5)))
-            world.start_node(leader)
-            watch(world.nodes[world.node_names[leader]])
+            deployment.kill_node(leader)
+            deployment.run(seconds(rng.uniform(0.1, 5)))
+            deployment.start_node(leader)
+            watch(deployment.nodes[deployment.node_names[leader]])
         elif trouble == "outage":
-            world.state.outage(seconds(rng.uniform(0.5, 6)))
+            deployment.state.outage(seconds(rng.uniform(0.5, 6)))
         elif leader is not None:
-            world.refused.add(world.node_names[leader])
-            world.run(seconds(rng.uniform(0.5, 6)))
-            world.refused.clear()
-    world.run(seconds(10))
+            deployment.refused.add(deployment.node_names[leader])
+            deployment.run(seconds(rng.uniform(0.5, 6)))
+            deployment.refused.clear()
+    deployment.run(seconds(10))
     assert won == sorted(set(won)) and len(won) >= 2
-    assert sum(node.is_leader for node in world.nodes.values()) == 1
+    assert sum(node.is_leader for node in deployment.nodes.values()) == 1
 
 
 def test_a_deposed_leaders_writes_fail():
-    world = World(3)
-    world.run(seconds(3))
-    leader = world.leader()
-    node = world.nodes[world.node_names[leader]]
+    deployment = SimulatedDeployment(3)
+    deployment.run(seconds(3))
+    leader = deployment.leader()
+    node = deployment.nodes[deployment.node_names[leader]]
     # Its lease ends unseen: it can neither renew nor watch, and still believes that it leads.
-    world.refused.add(world.node_names[leader])
-    world.cut(world.node_names[leader], world.node_names, False, seconds(9))
+    deployment.refused.add(deployment.node_names[leader])
+    deployment.cut(deployment.node_names[leader], deployment.node_names, False, seconds(9))
     for _ in range(80):
-        if sum(other.is_leader for other in world.nodes.values()) == 2:
+        if sum(other.is_leader for other in deployment.nodes.values()) == 2:
             break
-        world.run(seconds(0.1))
-    assert node.is_leader and sum(other.is_leader for other in world.nodes.values()) == 2
-    job = world.submit(1, threads=2, run_s=1.0)
-    world.refused.clear()
-    world.run(seconds(15))
-    assert not node.is_leader and world.told[job] == "pending"
-    world.poll(job)
-    world.run(seconds(1))
-    assert world.told[job] == "done"
+        deployment.run(seconds(0.1))
+    assert node.is_leader and sum(other.is_leader for other in deployment.nodes.values()) == 2
+    job = deployment.submit(1, threads=2, run_s=1.0)
+    deployment.refused.clear()
+    deployment.run(seconds(15))
+    assert not node.is_leader and deployment.told[job] == "pending"
+    deployment.poll(job)
+    deployment.run(seconds(1))
+    assert deployment.told[job] == "done"
 
 
 def test_a_leader_without_store_and_siblings_steps_down_though_its_workers_reach_it():
     """It used to go on renewing their leases without an order for as long as it might."""
-    world = World(3)
-    world.run(seconds(3))
-    leader = world.leader()
-    name = world.node_names[leader]
-    world.cut(name, [*world.node_names, "state"], False, seconds(30))
-    world.run(seconds(6))
-    assert not world.nodes[name].is_leader and world.leader() not in (None, leader)
+    deployment = SimulatedDeployment(3)
+    deployment.run(seconds(3))
+    leader = deployment.leader()
+    name = deployment.node_names[leader]
+    deployment.cut(name, [*deployment.node_names, "state"], False, seconds(30))
+    deployment.run(seconds(6))
+    assert not deployment.nodes[name].is_leader and deployment.leader() not in (None, leader)
 
 
 def test_who_is_elected_first_is_not_deposed_by_the_next():
@@ -210,30 +210,30 @@
 
 
 def test_a_leader_whose_process_ended_is_replaced_before_its_lease_ends():
-    world = World(5)
-    world.run(seconds(3))
-    leader = world.leader()
-    name = world.node_names[leader]
-    world.kill_node(leader)
-    for node in world.nodes.values():
+    deployment = SimulatedDeployment(5)
+    deployment.run(seconds(3))
+    leader = deployment.leader()
+    name = deployment.node_names[leader]
+    deployment.kill_node(leader)
+    for node in deployment.nodes.values():
         node.election.on_peer_process_ended(name)
-    world.run(seconds(0.5))
-    assert world.leader() not in (None, leader)
+    deployment.run(seconds(0.5))
+    assert deployment.leader() not in (None, leader)
 
 
 def test_a_leader_suspected_by_mistake_only_loses_its_office():
-    world = World(5)
-    world.run(seconds(3))
-    leader = world.leader()
-    job = world.submit(1, threads=3, run_s=3.0)
-    world.run(seconds(4))
-    other = world.nodes[world.node_names[(leader + 1) % 3]]
-    other.election.on_peer_process_ended(world.node_names[leader])
-    world.run(seconds(20))
-    assert sum(node.is_leader for node in world.nodes.values()) == 1
-    world.poll(job)
-    world.run(seconds(1))
-    assert world.told[job] == "done"
+    deployment = SimulatedDeployment(5)
+    deployment.run(seconds(3))
+    leader = deployment.leader()
+    job = deployment.submit(1, threads=3, run_s=3.0)
+    deployment.run(seconds(4))
+    other = deployment.nodes[deployment.node_names[(leader + 1) % 3]]
+    other.election.on_peer_process_ended(deployment.node_names[leader])
+    deployment.run(seconds(20))
+    assert sum(node.is_leader for node in deployment.nodes.values()) == 1
+    deployment.poll(job)
+    deployment.run(seconds(1))
+    assert deployment.told[job] == "done"
 
 
 def test_a_renewal_refused_for_the_rate_is_tried_again_before_the_lease_ends():
--- a/spindleglade/store/test_client.py
+++ b/spindleglade/store/test_client.py
@@ -21,7 +21,7 @@
     encode_value,
 )
 from spindleglade.store.replica import Replica
-from tests.standins import StateService
+from tests.fakes.state_service import StateService
 
 LIMITS = StateLimits(100.0, 40.0, 16.0, 12, NextStateLimits(50.0, 10.0, 2.0, 4))
 
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -19,7 +19,7 @@
 from spindleglade.workers.state_writer import StateWriter
 from spindleglade.workers.test_cluster_state import RULES, TOKEN, Harness, spec
 from spindleglade.workers.test_state_writer import Store
-from tests.deployment import Deployment, platform
+from tests.deployment_config import DeploymentConfig, platform
 
 
 def dependent(id="job-2", dependencies=("job-1",), **fields):
@@ -176,7 +176,7 @@
     """A store that holds these records and takes nothing."""
 
     def __init__(self, records):
-        self.limits = platform(0, Deployment()).params.state
+        self.limits = platform(0, DeploymentConfig()).params.state
         self._entries = records
 
     async def read_all(self, prefix):
@@ -193,7 +193,7 @@
     ]
     leader = Leader(
         Term(TOKEN, 5, 1),
-        platform(0, Deployment()),
+        platform(0, DeploymentConfig()),
         OperatorSettings(),
         ManualClock(),
         None,
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_splitting.py
@@ -22,8 +22,8 @@
 from spindleglade.workers.state_writer import StateWriter
 from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
 from spindleglade.workers.test_state_writer import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
-from tests.deployment import Deployment, platform
-from tests.standins import StateService
+from tests.deployment_config import DeploymentConfig, platform
+from tests.fakes.state_service import StateService
 
 LOWER = NextStateLimits(value_kb=0.45, txn_ops=4)
 SPANS = st.tuples(st.integers(0, 99), st.integers(1, 70)).map(lambda at: set(range(at[0], at[0] + at[1])))
@@ -75,7 +75,7 @@
         """The cluster of a leader that would take over now."""
         leader = Leader(
             None,
-            platform(0, Deployment()),
+            platform(0, DeploymentConfig()),
             OperatorSettings(),
             ManualClock(),
             *[None] * 8,
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -38,8 +38,8 @@
 from spindleglade.workers.messages import Heartbeat, TaskStatus
 from spindleglade.workers.state_writer import StateWriter
 from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
-from tests.deployment import Deployment, platform
-from tests.standins import StateService
+from tests.deployment_config import DeploymentConfig, platform
+from tests.fakes.state_service import StateService
 
 
 class Store:
@@ -312,7 +312,7 @@
         client = StateClient(Line(self), "", self.clock, self.LIMITS, 1, seconds(1))
         leader = Leader(
             term,
-            platform(0, Deployment()),
+            platform(0, DeploymentConfig()),
             OperatorSettings(),
             self.clock,
             *[None] * 8,
--- a/tests/deployment.py
+++ b/tests/deployment_config.py
@@ -31,8 +31,8 @@
 
 
 @dataclass(frozen=True)
-class Deployment:
-    """What a world is like."""
+class DeploymentConfig:
+    """What a deployment is like."""
 
     nodes: int = 3
     # Machines that the cloud has.
@@ -56,17 +56,17 @@
         return next(entry["cpus_max"] for entry in self.teams if entry["name"] == team)
 
 
-def _state_limits(at: Deployment) -> dict:
+def _state_limits(at: DeploymentConfig) -> dict:
     limits = {"rps": at.rps, "write_rps": at.write_rps, "value_kb": at.value_kb, "txn_ops": at.txn_ops}
     return limits if at.next_limits is None else limits | {"next": at.next_limits}
 
 
-def platform(index: int, at: Deployment) -> Platform:
+def platform(index: int, at: DeploymentConfig) -> Platform:
     """The settings that the platform hands to one controller."""
     return msgspec.convert(platform_settings(index, at), Platform)
 
 
-def platform_settings(index: int, at: Deployment) -> dict[str, Any]:
+def platform_settings(index: int, at: DeploymentConfig) -> dict[str, Any]:
     """The same as the platform writes them down."""
     names = [f"node-{number}" for number in range(at.nodes)]
     return {
@@ -96,7 +96,7 @@
 
 
 def description(job_id: str, fields: dict) -> dict:
-    """A job as its user describes it; `run_s` is for the stand-ins alone."""
+    """A job as its user describes it; `run_s` is for the fakes alone."""
     return {
         "ref": job_id,
         "bobbin": "c",
--- /dev/null
+++ b/tests/fakes/__init__.py
@@ -0,0 +1,1 @@
+"""Fakes of the services and workers around a controller, by the published protocols."""
--- /dev/null
+++ b/tests/fakes/state_service.py
@@ -0,0 +1,223 @@
+"""The state service by its published protocol: a key-value store with transactions, watches and leases.
+
+It knows nothing of networks. `handle` takes a request and gives a status and a body, or a Deferred of both
+where the protocol lets the answer wait. Time comes from the clock that it is given.
+"""
+
+import math
+from bisect import bisect_right
+from datetime import timedelta
+from typing import Any
+from urllib.parse import parse_qs, urlsplit
+
+from twisted.internet.defer import Deferred
+
+from spindleglade.runtime.clock import Clock
+from tests.fakes.encoding import Reply, decode, encode, reply
+
+
+class Rate:
+    """So many a second, and bursts of one second's worth."""
+
+    def __init__(self, clock: Clock, rate: float) -> None:
+        self._clock, self._rate = clock, rate
+        self._left, self._at = rate, clock.now()
+
+    def lower(self, rate: float) -> None:
+        self.allows(0)
+        self._rate, self._left = min(self._rate, rate), min(self._left, rate)
+
+    def allows(self, count: int = 1) -> bool:
+        now = self._clock.now()
+        self._left = min(self._rate, self._left + self._rate * (now - self._at).total_seconds())
+        self._at = now
+        if self._left < count:
+            return False
+        self._left -= count
+        return True
+
+
+class StateService:
+    def __init__(
+        self,
+        clock: Clock,
+        value_kb: float = 16,
+        txn_ops: int = 12,
+        rps: float = math.inf,
+        write_rps: float = math.inf,
+    ) -> None:
+        self.clock = clock
+        self.requests, self.writes = Rate(clock, rps), Rate(clock, write_rps)
+        # Puts and deletes carried out, and requests refused as too many.
+        self.changes = 0
+        self.too_many = 0
+        self.value_kb = value_kb
+        self.txn_ops = txn_ops
+        self.revision = 0
+        self.keys: dict[str, tuple[Any, int, int | None]] = {}
+        self.log: list[dict] = []
+        self.kept = 10_000
+        self.leases: dict[int, list] = {}
+        self.next_lease = 1
+        self.down = False
+        self._watches: list[tuple[str, int, Deferred]] = []
+        # Before the limits are lowered nothing over them may be sent at all; after that it gets a 400.
+        self.lowered = False
+        # Transactions refused as too large.
+        self.too_large: list[bytes] = []
+
+    def lower_limits(
+        self,
+        value_kb: float = math.inf,
+        txn_ops: int | None = None,
+        rps: float = math.inf,
+        write_rps: float = math.inf,
+    ) -> None:
+        """What is stored stays; what is written from now on must keep to the smaller limits."""
+        self.lowered = True
+        self.value_kb = min(self.value_kb, value_kb)
+        self.txn_ops = self.txn_ops if txn_ops is None else min(self.txn_ops, txn_ops)
+        self.requests.lower(rps)
+        self.writes.lower(write_rps)
+
+    def outage(self, length: timedelta) -> None:
+        self.down = True
+        self.clock.later(length, self._back)
+
+    def _back(self) -> None:
+        self.down = False
+        for lease in self.leases.values():
+            lease[1] = self.clock.now() + lease[0]
+        self._notify()
+
+    def expire(self) -> None:
+        if self.down:
+            return
+        now = self.clock.now()
+        for number in [number for number, lease in self.leases.items() if lease[1] < now]:
+            self._end(number)
+
+    def _end(self, number: int) -> None:
+        del self.leases[number]
+        self._write([{"remove": key} for key, (_, _, lease) in self.keys.items() if lease == number])
+
+    def _write(self, writes: list[dict]) -> None:
+        if not writes:
+            return
+        self.revision += 1
+        self.changes += len(writes)
+        for write in writes:
+            if "set" in write:
+                self.keys[write["set"]] = (write["v"], self.revision, write.get("hold"))
+                self.log.append({"set": write["set"], "v": write["v"], "mark": self.revision})
+            elif self.keys.pop(write["remove"], None) is not None:
+                self.log.append({"remove": write["remove"], "mark": self.revision})
+        del self.log[: -self.kept]
+        self._notify()
+
+    def _changes(self, prefix: str, since: int) -> list[dict]:
+        first = bisect_right(self.log, since, key=lambda change: change["mark"])
+        return [
+            change
+            for change in self.log[first:]
+            if (change.get("set") or change["remove"]).startswith(prefix)
+        ]
+
+    def _notify(self) -> None:
+        if self.down:
+            return
+        waiting, self._watches = self._watches, []
+        for prefix, since, waiter in waiting:
+            if waiter.called:
+                continue
+            changes = self._changes(prefix, since)
+            if changes:
+                waiter.callback(reply(200, {"turn": self.revision, "log": changes}))
+            else:
+                self._watches.append((prefix, since, waiter))
+
+    def handle(self, method: str, path: str, body: bytes) -> Reply | Deferred:
+        self.expire()
+        if self.down:
+            return reply(503)
+        if not self.requests.allows():
+            self.too_many += 1
+            return reply(429)
+        parts = urlsplit(path)
+        query = {key: values[0] for key, values in parse_qs(parts.query).items()}
+        if parts.path == "/txn":
+            if len(body) > 64 * 1024:
+                return reply(400, {"error": "too large"})
+            txn = decode(body)
+            if not self.writes.allows(len(txn["writes"])):
+                self.too_many += 1
+                return reply(429)
+            over = self._over_limits(txn)
+            if over is not None:
+                assert self.lowered, over
+                self.too_large.append(body)
+                return reply(400, {"error": over})
+            return self._txn(txn)
+        if parts.path == "/watch":
+            return self._watch(query)
+        if parts.path == "/kv":
+            return self._list(query)
+        if parts.path.startswith("/kv/"):
+            key = parts.path[4:]
+            if key not in self.keys:
+                return reply(404, {"turn": self.revision})
+            value, mod_revision, lease = self.keys[key]
+            return reply(200, {"k": key, "v": value, "mark": mod_revision, "hold": lease})
+        if parts.path == "/leases":
+            ttl = timedelta(milliseconds=decode(body)["ttl_ms"])
+            number, self.next_lease = self.next_lease, self.next_lease + 1
+            self.leases[number] = [ttl, self.clock.now() + ttl]
+            return reply(200, {"hold": number})
+        number = int(parts.path.split("/")[2])
+        if number not in self.leases:
+            return reply(404)
+        if method == "DELETE":
+            self._end(number)
+        else:
+            self.leases[number][1] = self.clock.now() + self.leases[number][0]
+        return reply(200)
+
+    def _over_limits(self, txn: dict) -> str | None:
+        if len(txn["writes"]) > self.txn_ops or len(txn["when"]) > 4 * self.txn_ops:
+            return "too many operations"
+        if any(len(encode(write.get("v"))) > self.value_kb * 1024 for write in txn["writes"]):
+            return "value too large"
+        return None
+
+    def _txn(self, txn: dict) -> Reply:
+        when, writes = txn["when"], txn["writes"]
+        for write in writes:
+            if write.get("hold") is not None and write["hold"] not in self.leases:
+                return reply(400, {"error": "no such lease"})
+        failed = [at["k"] for at in when if self.keys.get(at["k"], (None, 0))[1] != at["mark"]]
+        if failed:
+            return reply(409, {"failed": failed, "turn": self.revision})
+        self._write(writes)
+        return reply(200, {"turn": self.revision})
+
+    def _list(self, query: dict) -> Reply:
+        keys = sorted(k for k in self.keys if k.startswith(query["starts"]) and k > query.get("since", ""))
+        page = keys[: min(int(query.get("page", 1000)), 7)]
+        entries = [{"k": key, "v": self.keys[key][0], "mark": self.keys[key][1]} for key in page]
+        return reply(200, {"entries": entries, "has_next": len(page) < len(keys), "turn": self.revision})
+
+    def _watch(self, query: dict) -> Reply | Deferred:
+        since, prefix = int(query["since"]), query["starts"]
+        if self.revision > self.kept and since < self.revision - self.kept:
+            return reply(410)
+        changes, wait = self._changes(prefix, since), int(query.get("wait_ms", 0))
+        if changes or wait == 0:
+            return reply(200, {"turn": self.revision, "log": changes})
+        waiter: Deferred[Reply] = Deferred()
+        self._watches.append((prefix, since, waiter))
+        self.clock.later(timedelta(milliseconds=wait), self._watch_over, waiter)
+        return waiter
+
+    def _watch_over(self, waiter: Deferred) -> None:
+        if not waiter.called and not self.down:
+            waiter.callback(reply(200, {"turn": self.revision, "log": []}))
--- /dev/null
+++ b/tests/invariants/__init__.py
@@ -0,0 +1,1 @@
+"""What must hold in every simulated deployment at every moment."""
--- a/tests/rules.py
+++ b/tests/invariants/dependency_invariants.py
@@ -1,21 +1,21 @@
-"""The rules of chained jobs, checked by where tasks ran in the world and what users were told."""
+"""The rules of chained jobs, checked by where tasks ran in the deployment and what users were told."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from tests.deployment import CANCEL
+from tests.deployment_config import CANCEL
 from tests.production import JOBS
 
 if TYPE_CHECKING:
-    from tests.world import World
+    from tests.simulated_deployment import SimulatedDeployment
 
 OVER = ("done", "aborted")
 # Jobs that one message names.
 MOST_NAMED = 5
 
 
-class DependencyRules:
-    """Follows the dependencies between the jobs of a world, and notes in `world.broken` what breaks a rule.
+class DependencyInvariants:
+    """Follows the dependencies between a deployment's jobs; what breaks a rule goes to `deployment.broken`.
 
     - `too_early`: a task starts before all jobs that its job needs, directly or through others, are done, or
       before the store says that they are: reports alone release nothing.
@@ -24,8 +24,8 @@
     - `contradiction`: a job is called done though one before it is called aborted.
     """
 
-    def __init__(self, world: "World") -> None:
-        self._world = world
+    def __init__(self, deployment: "SimulatedDeployment") -> None:
+        self._deployment = deployment
         self._ancestors: dict[str, frozenset[str]] = {}
         # When a user was first told that the job is aborted.
         self.told_aborted: dict[str, timedelta] = {}
@@ -34,30 +34,34 @@
         """All jobs that it needs, directly or through others. They are fixed when it is submitted."""
         if job not in self._ancestors:
             found: set[str] = set()
-            open_jobs = list(self._world.jobs[job].get("awaits") or ())
+            open_jobs = list(self._deployment.jobs[job].get("awaits") or ())
             while open_jobs:
                 ancestor = open_jobs.pop()
                 if ancestor in found:
                     continue
                 found.add(ancestor)
-                open_jobs += self._ancestors.get(ancestor) or self._world.jobs[ancestor].get("awaits") or ()
+                open_jobs += (
+                    self._ancestors.get(ancestor) or self._deployment.jobs[ancestor].get("awaits") or ()
+                )
             self._ancestors[job] = frozenset(found)
         return self._ancestors[job]
 
     def released(self, job: str) -> bool:
         """Whether all that it needs is done, by what ran."""
-        return all(map(self._world.is_complete, self.ancestors(job)))
+        return all(map(self._deployment.is_complete, self.ancestors(job)))
 
     def cancelled(self, job: str) -> bool:
         """Whether a user has asked to cancel it or a job before it."""
-        return job in self._world.asked_abort or not self._world.asked_abort.isdisjoint(self.ancestors(job))
+        return job in self._deployment.asked_abort or not self._deployment.asked_abort.isdisjoint(
+            self.ancestors(job)
+        )
 
     def aborted_ancestors(self, job: str) -> list[str]:
         """The jobs before it that a user was told are aborted."""
         return sorted(self.ancestors(job) & self.told_aborted.keys())
 
     def task_started(self, job: str, task: str) -> None:
-        missing = [one for one in sorted(self.ancestors(job)) if not self._world.is_complete(one)]
+        missing = [one for one in sorted(self.ancestors(job)) if not self._deployment.is_complete(one)]
         if missing:
             self._broken(f"too_early {task} started while {_some(missing)} are not done")
         unrecorded = [one for one in sorted(self.ancestors(job)) if not self._is_recorded_done(one)]
@@ -68,7 +72,7 @@
 
     def told(self, job: str, stage: str) -> None:
         """A user got this answer now."""
-        now = self._world.clock.now()
+        now = self._deployment.clock.now()
         if stage == "aborted":
             self.told_aborted.setdefault(job, now)
         aborted = self.aborted_ancestors(job)
@@ -80,17 +84,17 @@
 
     def look(self) -> None:
         """At any moment: no task runs whose job comes after an aborted one."""
-        running = {task.rpartition("/")[0] for task, machines in self._world.on.items() if machines}
+        running = {task.rpartition("/")[0] for task, machines in self._deployment.on.items() if machines}
         for job in sorted(running):
             if self.aborted_ancestors(job):
                 self._broken(f"orphaned {job} has tasks though {self.aborted_ancestors(job)} are aborted")
 
     def _is_recorded_done(self, job: str) -> bool:
-        record = self._world.state.keys.get(JOBS + job)
+        record = self._deployment.state.keys.get(JOBS + job)
         return record is not None and record[0]["stage"] == "done"
 
     def _broken(self, what: str) -> None:
-        self._world.broken.append(f"{what} at {self._world.clock.now()}")
+        self._deployment.broken.append(f"{what} at {self._deployment.clock.now()}")
 
 
 def _some(jobs: list[str]) -> str:
--- a/tests/liveness.py
+++ b/tests/invariants/liveness_invariants.py
@@ -4,11 +4,11 @@
 from typing import TYPE_CHECKING
 
 from spindleglade.runtime.clock import seconds
-from tests.rules import OVER
+from tests.invariants.dependency_invariants import OVER
 
 if TYPE_CHECKING:
     from spindleglade.controller.controller import Controller
-    from tests.world import World
+    from tests.simulated_deployment import SimulatedDeployment
 
 # How long, once there is no trouble, no controller may lead that is entitled to start and to rent.
 LEADS_WITHIN = seconds(20)
@@ -18,16 +18,16 @@
 LOOK_EVERY = seconds(1)
 
 
-class LivenessRules:
-    """Notes in `world.broken` what breaks a rule of liveness.
+class LivenessInvariants:
+    """Notes in `deployment.broken` what breaks a rule of liveness.
 
     - `nobody_leads`: for `LEADS_WITHIN` no controller has led, or none that may start tasks and rent.
     - `stands_still`: no task runs and none has started for `STARTS_WITHIN`, while an accepted job waits whose
       team is under its limit, and a machine or the cloud has room for it.
     """
 
-    def __init__(self, world: "World") -> None:
-        self._world = world
+    def __init__(self, deployment: "SimulatedDeployment") -> None:
+        self._deployment = deployment
         self._looked = timedelta(0)
         # Since when there has been no trouble, with these controllers' processes.
         self._quiet_since = timedelta(0)
@@ -37,32 +37,32 @@
         self._led = timedelta(0)
 
     def task_started(self) -> None:
-        self._latest_start = self._world.clock.now()
+        self._latest_start = self._deployment.clock.now()
 
     def look(self) -> None:
         """At any moment."""
-        now = self._world.clock.now()
+        now = self._deployment.clock.now()
         if now - self._looked < LOOK_EVERY:
             return
         self._looked = now
-        processes = {id(node) for node in self._world.nodes.values()}
+        processes = {id(node) for node in self._deployment.nodes.values()}
         if self._troubled() or processes != self._processes:
             self._quiet_since, self._processes = now, processes
         self._look_at_leader(now)
         self._look_at_work(now)
 
     def _troubled(self) -> bool:
-        world = self._world
+        deployment = self._deployment
         return (
-            world.clock.now() < world.calm
-            or world.state.down
-            or world.cloud.trouble
-            or bool(world.cuts or world.refused or world.silent)
-            or bool(world.not_receiving or world.not_reporting)
+            deployment.clock.now() < deployment.calm
+            or deployment.state.down
+            or deployment.cloud.trouble
+            or bool(deployment.cuts or deployment.refused or deployment.silent)
+            or bool(deployment.not_receiving or deployment.not_reporting)
         )
 
     def _look_at_leader(self, now: timedelta) -> None:
-        leaders = [node for node in self._world.nodes.values() if node.is_leader]
+        leaders = [node for node in self._deployment.nodes.values() if node.is_leader]
         if any(map(_may_act, leaders)):
             self._led = now
         elif self._processes and now - max(self._quiet_since, self._led) > LEADS_WITHIN:
@@ -70,24 +70,24 @@
 
     def _look_at_work(self, now: timedelta) -> None:
         since = max(self._quiet_since, self._latest_start)
-        if now - since <= STARTS_WITHIN or any(self._world.on.values()):
+        if now - since <= STARTS_WITHIN or any(self._deployment.on.values()):
             return
-        for job_id in sorted(self._world.accepted):
-            if now - self._world.sent[job_id] > STARTS_WITHIN and self._could_start(job_id):
+        for job_id in sorted(self._deployment.accepted):
+            if now - self._deployment.sent[job_id] > STARTS_WITHIN and self._could_start(job_id):
                 self._broken(f"stands_still: {job_id} waits and nothing has started since {since}")
                 return
 
     def _could_start(self, job_id: str) -> bool:
-        world = self._world
-        if world.told.get(job_id) in OVER or world.dependencies.cancelled(job_id):
+        deployment = self._deployment
+        if deployment.told.get(job_id) in OVER or deployment.dependencies.cancelled(job_id):
             return False
-        if world.is_complete(job_id) or not world.dependencies.released(job_id):
+        if deployment.is_complete(job_id) or not deployment.dependencies.released(job_id):
             return False
-        job = world.jobs[job_id]
-        return world.service.has_room(job) or world.cloud.has_room
+        job = deployment.jobs[job_id]
+        return deployment.service.has_room(job) or deployment.cloud.has_room
 
     def _broken(self, what: str) -> None:
-        self._world.broken.append(f"{what} at {self._world.clock.now()}")
+        self._deployment.broken.append(f"{what} at {self._deployment.clock.now()}")
 
 
 def _may_act(node: "Controller") -> bool:
--- a/tests/service_rules.py
+++ b/tests/invariants/service_invariants.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING, Any
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment import size
-from tests.rules import OVER
-from tests.standins import Machine
+from tests.deployment_config import size
+from tests.fakes.cloud import Machine
+from tests.invariants.dependency_invariants import OVER
 
 if TYPE_CHECKING:
-    from tests.world import World
+    from tests.simulated_deployment import SimulatedDeployment
 
 # How long a job may wait, once all troubles are over, while there is room for it.
 IDLE_ROOM = seconds(90)
@@ -24,11 +24,11 @@
 LONGEST_RUN = 1.5
 
 
-class ServiceRules:
-    """Notes in `world.broken` which jobs wait though there is room, and checks a whole day at its end."""
+class ServiceInvariants:
+    """Notes in `deployment.broken` which jobs wait though there is room; checks a whole day at its end."""
 
-    def __init__(self, world: "World") -> None:
-        self._world = world
+    def __init__(self, deployment: "SimulatedDeployment") -> None:
+        self._deployment = deployment
         # Since when each job has waited although a machine had room for it; and when that was last looked at.
         self._passed_over: dict[str, timedelta] = {}
         self._looked = timedelta(0)
@@ -36,24 +36,24 @@
     def served(self, key: Callable[[dict], Any]) -> dict:
         """By class, team or whatever `key` gives: how much of its jobs is done, of those nobody cancelled."""
         found: dict = {}
-        for job_id, job in self._world.jobs.items():
-            if not self._world.dependencies.cancelled(job_id):
-                found.setdefault(key(job), []).append(self._world.told.get(job_id) == "done")
+        for job_id, job in self._deployment.jobs.items():
+            if not self._deployment.dependencies.cancelled(job_id):
+                found.setdefault(key(job), []).append(self._deployment.told.get(job_id) == "done")
         return {name: sum(done) / len(done) for name, done in found.items()}
 
     def largest(self) -> set[str]:
         """Of each class the jobs that take as much as any of it, all tasks together."""
         most: dict[str, float] = {}
-        for job in self._world.jobs.values():
+        for job in self._deployment.jobs.values():
             most[job["bobbin"]] = max(most.get(job["bobbin"], 0.0), size(job))
-        return {job_id for job_id, job in self._world.jobs.items() if size(job) >= most[job["bobbin"]]}
+        return {job_id for job_id, job in self._deployment.jobs.items() if size(job) >= most[job["bobbin"]]}
 
     def check_day(self) -> None:
         """Every job known, and half of each class, of each team and of each class's largest jobs served; the
         largest begun within four minutes."""
         largest = self.largest()
-        assert self._world.jobs.keys() == self._world.accepted, sorted(
-            self._world.jobs.keys() - self._world.accepted
+        assert self._deployment.jobs.keys() == self._deployment.accepted, sorted(
+            self._deployment.jobs.keys() - self._deployment.accepted
         )
         for key in (
             lambda job: job["bobbin"],
@@ -63,9 +63,10 @@
             shares = self.served(key)
             assert min(shares.values(), default=1.0) >= LEAST_SERVED, shares
         waits = {
-            job: self._world.began.get(job, self._world.clock.now() + BEGINS_WITHIN) - self._world.sent[job]
+            job: self._deployment.began.get(job, self._deployment.clock.now() + BEGINS_WITHIN)
+            - self._deployment.sent[job]
             for job in largest
-            if not self._world.dependencies.cancelled(job)
+            if not self._deployment.dependencies.cancelled(job)
         }
         late = {job: wait for job, wait in waits.items() if wait >= BEGINS_WITHIN}
         assert not late, late
@@ -74,11 +75,11 @@
         """What each machine that is well has free, and the CPUs that each team holds."""
         free: list[tuple[Machine, float, float]] = []
         held: Counter[str] = Counter()
-        for worker in self._world.workers.values():
+        for worker in self._deployment.workers.values():
             if worker.gone:
                 continue
             for name, _ in worker.tasks:
-                job = self._world.jobs[name.rpartition("/")[0]]
+                job = self._deployment.jobs[name.rpartition("/")[0]]
                 held[job["crew"]] += job["vcpus"]
             if worker.hung is None and worker.warning is None:
                 free.append((worker.machine, *worker._free()))
@@ -86,11 +87,13 @@
 
     def _fits(self, job: dict, free: list[tuple[Machine, float, float]], held: Counter) -> bool:
         """Whether a task of the job could start somewhere, by all that the rules say."""
-        if held[job["crew"]] + job["vcpus"] > self._world.at.limit(job["crew"]):
+        if held[job["crew"]] + job["vcpus"] > self._deployment.at.limit(job["crew"]):
             return False
         tasks = (f"{job['ref']}/{index}" for index in range(job["threads"]))
         zones = [
-            self._world.workers[name].machine.zone for task in tasks for name in self._world.on.get(task, ())
+            self._deployment.workers[name].machine.zone
+            for task in tasks
+            for name in self._deployment.on.get(task, ())
         ]
         for machine, cpus, memory in free:
             if (machine.spot and not job["windfall"]) or (job["glade"] and job["glade"] != machine.zone):
@@ -110,31 +113,33 @@
     def work(self, team: str) -> timedelta:
         """How long a team's jobs take at its limit, if each takes as long as it may."""
         cpu_s = sum(
-            size(job) * LONGEST_RUN * job["run_s"] for job in self._world.jobs.values() if job["crew"] == team
+            size(job) * LONGEST_RUN * job["run_s"]
+            for job in self._deployment.jobs.values()
+            if job["crew"] == team
         )
-        return seconds(cpu_s / self._world.at.limit(team))
+        return seconds(cpu_s / self._deployment.at.limit(team))
 
     def look(self) -> None:
         """No job may wait for long while a machine that fits has room and its team is under its limit."""
-        now = self._world.clock.now()
-        if now < self._world.calm or now - self._looked < LOOK_EVERY:
+        now = self._deployment.clock.now()
+        if now < self._deployment.calm or now - self._looked < LOOK_EVERY:
             return
         self._looked = now
         free, held = self._room()
-        for job_id in self._world.accepted:
-            job = self._world.jobs[job_id]
+        for job_id in self._deployment.accepted:
+            job = self._deployment.jobs[job_id]
             tasks = [f"{job_id}/{index}" for index in range(job["threads"])]
             if (
-                self._world.dependencies.cancelled(job_id)
-                or not self._world.dependencies.released(job_id)
-                or self._world.told.get(job_id) in OVER
-                or all(task in self._world.completed or self._world.on.get(task) for task in tasks)
+                self._deployment.dependencies.cancelled(job_id)
+                or not self._deployment.dependencies.released(job_id)
+                or self._deployment.told.get(job_id) in OVER
+                or all(task in self._deployment.completed or self._deployment.on.get(task) for task in tasks)
                 or not self._fits(job, free, held)
             ):
                 self._passed_over.pop(job_id, None)
                 continue
             since = max(
-                self._passed_over.setdefault(job_id, now), self._world.latest_start.get(job_id, now * 0)
+                self._passed_over.setdefault(job_id, now), self._deployment.latest_start.get(job_id, now * 0)
             )
             if now - since > IDLE_ROOM:
-                self._world.broken.append(f"waits {job_id} since {since} while there is room")
+                self._deployment.broken.append(f"waits {job_id} since {since} while there is room")
--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -14,8 +14,8 @@
 from datetime import timedelta
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment import Deployment
-from tests.world import World
+from tests.deployment_config import DeploymentConfig
+from tests.simulated_deployment import SimulatedDeployment
 
 RESTART_AT, CUT_AT, CUT_FOR = seconds(60), seconds(80), seconds(15)
 DAY = seconds(170)
@@ -50,12 +50,12 @@
             self.cpu_ms.append(float(match[2]))
 
 
-def large_deployment(machines: int) -> Deployment:
+def large_deployment_config(machines: int) -> DeploymentConfig:
     """The rates of the largest deployment that is served today, with more machines, and sockets for twice as
     many connections as there are workers."""
     cpus = machines * CPUS_PER_MACHINE / len(TEAMS)
     teams = tuple({"name": name, "cpus": cpus / 2, "cpus_max": cpus * 1.5} for name in TEAMS)
-    return Deployment(
+    return DeploymentConfig(
         capacity=machines,
         report=seconds(2.5),
         lease=seconds(14),
@@ -68,7 +68,7 @@
     )
 
 
-def submit_all(world: World, machines: int) -> list[str]:
+def submit_all(deployment: SimulatedDeployment, machines: int) -> list[str]:
     """Submits work at an even rate; returns the jobs, filled as the day goes on."""
     jobs: list[str] = []
     work = sum(job["vcpus"] * job["threads"] * job["run_s"] for job in CLASSES.values()) / len(CLASSES)
@@ -77,19 +77,19 @@
     def submit(number: int) -> None:
         name = list(CLASSES)[number % len(CLASSES)]
         fields = CLASSES[name] | {"bobbin": name, "crew": TEAMS[number % len(TEAMS)]}
-        job = world.submit(number, **fields)
-        world.watch(job, seconds(5))
+        job = deployment.submit(number, **fields)
+        deployment.watch(job, seconds(5))
         jobs.append(job)
 
     for number in range(int(LAST_SUBMISSION.total_seconds() / every)):
-        world.clock.later(seconds(1 + number * every), submit, number)
+        deployment.clock.later(seconds(1 + number * every), submit, number)
     return jobs
 
 
-def restart_all(world: World) -> None:
+def restart_all(deployment: SimulatedDeployment) -> None:
     """All controllers end within three seconds."""
     for index, (ends, back) in enumerate(((0.0, 4.0), (1.0, 0.2), (2.5, 3.0))):
-        world.clock.later(seconds(ends), world.restart, index, seconds(back))
+        deployment.clock.later(seconds(ends), deployment.restart, index, seconds(back))
 
 
 def share(values: list[float], part: float) -> float:
@@ -108,27 +108,32 @@
     planner_log.setLevel(logging.DEBUG)
     planner_log.addHandler(rounds)
     began = time.monotonic()
-    world = World(options.seed, deployment=large_deployment(options.machines))
-    world.cloud.page = 500
-    jobs = submit_all(world, options.machines)
-    world.clock.later(RESTART_AT, restart_all, world)
-    world.clock.later(CUT_AT, world.cut_zone, "b", True, CUT_FOR)
+    deployment = SimulatedDeployment(options.seed, config=large_deployment_config(options.machines))
+    deployment.cloud.page = 500
+    jobs = submit_all(deployment, options.machines)
+    deployment.clock.later(RESTART_AT, restart_all, deployment)
+    deployment.clock.later(CUT_AT, deployment.cut_zone, "b", True, CUT_FOR)
     most_machines = 0
-    while world.clock.now() < DAY:
-        world.run(seconds(10), STEP)
-        machines = sum(not worker.gone for worker in world.workers.values())
+    while deployment.clock.now() < DAY:
+        deployment.run(seconds(10), STEP)
+        machines = sum(not worker.gone for worker in deployment.workers.values())
         most_machines = max(most_machines, machines)
-        at_s = world.clock.now().total_seconds()
-        done = sum(stage == "done" for stage in world.told.values())
+        at_s = deployment.clock.now().total_seconds()
+        done = sum(stage == "done" for stage in deployment.told.values())
         print(
-            f"at {at_s:.0f} s: {machines} machines, {world.started} starts, {done} of {len(jobs)} jobs done, "
-            f"{len(world.state.keys)} keys, revision {world.state.revision}, "
+            f"at {at_s:.0f} s: {machines} machines, {deployment.started} starts, "
+            f"{done} of {len(jobs)} jobs done, "
+            f"{len(deployment.state.keys)} keys, revision {deployment.state.revision}, "
             f"{time.monotonic() - began:.0f} s real",
             flush=True,
         )
-    waits = [(world.began[job] - world.sent[job]).total_seconds() for job in jobs if job in world.began]
-    print(f"machines: {most_machines} at most, {world.cloud.made} rented in all")
-    print(f"jobs: {len(jobs)}, accepted {len(world.accepted)}, begun {len(waits)}")
+    waits = [
+        (deployment.began[job] - deployment.sent[job]).total_seconds()
+        for job in jobs
+        if job in deployment.began
+    ]
+    print(f"machines: {most_machines} at most, {deployment.cloud.made} rented in all")
+    print(f"jobs: {len(jobs)}, accepted {len(deployment.accepted)}, begun {len(waits)}")
     print(
         f"first start after s: p50 {share(waits, 0.5):.1f}, p90 {share(waits, 0.9):.1f}, max {max(waits):.1f}"
     )
@@ -137,11 +142,12 @@
         f"p95 {share(rounds.cpu_ms, 0.95):.0f}, max {max(rounds.cpu_ms):.0f}"
     )
     print(
-        f"state service: {world.state.changes} changes, {world.state.too_many} requests refused as too many"
+        f"state service: {deployment.state.changes} changes, "
+        f"{deployment.state.too_many} requests refused as too many"
     )
-    print(f"connections of one controller: {world.most_open} at most, limit {world.at.sockets}")
+    print(f"connections of one controller: {deployment.most_open} at most, limit {deployment.at.sockets}")
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    print(f"memory of the whole simulation, stand-ins included: {peak_mb:.0f} MB")
+    print(f"memory of the whole simulation, fakes included: {peak_mb:.0f} MB")
     print("rules: none broken")
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Three controllers as real processes on loopback, among stand-ins for state service, cloud and workers."""
+"""Three controllers as real processes on loopback, among fakes for state service, cloud and workers."""
 
 import json
 import os
@@ -15,8 +15,10 @@
 
 from spindleglade.http.web import HttpClient, HttpResponse, NoResponseError, RequestResource
 from spindleglade.runtime.clock import ReactorClock, seconds
-from tests.deployment import TEAMS, TYPES, description
-from tests.standins import Cloud, StateService, Worker
+from tests.deployment_config import TEAMS, TYPES, description
+from tests.fakes.cloud import Cloud
+from tests.fakes.state_service import StateService
+from tests.fakes.worker import Worker
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -28,7 +30,7 @@
 
 
 class Loopback:
-    """The stand-ins behind real sockets, and the controllers as processes."""
+    """The fakes behind real sockets, and the controllers as processes."""
 
     def __init__(self, folder, roots=(ROOT,) * 3):
         """`roots` are the checkouts that the three controllers run."""
--- a/tests/pipelines.py
+++ b/tests/pipelines.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from spindleglade.runtime.clock import seconds
-from tests.rules import OVER
-from tests.world import World
+from tests.invariants.dependency_invariants import OVER
+from tests.simulated_deployment import SimulatedDeployment
 
 # By then all that waits is served once the last trouble is over.
 SETTLED_WITHIN = seconds(90)
@@ -67,11 +67,13 @@
 class Pipeline:
     """The jobs of one shape. Each is submitted at any node once those that it needs are accepted, or over."""
 
-    def __init__(self, world: World, first: int, shape: Shape, fields: list[dict[str, Any]]) -> None:
-        self.world, self.first, self.shape, self.fields = world, first, shape, fields
+    def __init__(
+        self, deployment: SimulatedDeployment, first: int, shape: Shape, fields: list[dict[str, Any]]
+    ) -> None:
+        self.deployment, self.first, self.shape, self.fields = deployment, first, shape, fields
         self._sent: set[int] = set()
-        world.when_accepted.append(lambda job: self._submit_what_can_be())
-        world.when_over.append(lambda job: self._submit_what_can_be())
+        deployment.when_accepted.append(lambda job: self._submit_what_can_be())
+        deployment.when_over.append(lambda job: self._submit_what_can_be())
         self._submit_what_can_be()
 
     def job(self, place: int) -> str:
@@ -95,29 +97,29 @@
     def _may_submit(self, stage: Stage) -> bool:
         needed = [self.job(place) for place in stage.needs]
         if stage.late:
-            return all(self.world.told.get(job) in OVER for job in needed)
-        return all(job in self.world.accepted for job in needed)
+            return all(self.deployment.told.get(job) in OVER for job in needed)
+        return all(job in self.deployment.accepted for job in needed)
 
     def _submit(self, place: int, stage: Stage) -> None:
         self._sent.add(place)
         fields = dict(self.fields[place])
         if stage.needs:
             fields["awaits"] = [self.job(needed) for needed in stage.needs]
-        self.world.watch(self.world.submit(self.first + place, **fields))
+        self.deployment.watch(self.deployment.submit(self.first + place, **fields))
 
 
 class Pipelines:
-    """A stream of pipelines of all shapes, across the teams of a world."""
+    """A stream of pipelines of all shapes, across the teams of a deployment."""
 
-    def __init__(self, world: World, first: int = 1000) -> None:
-        self.world = world
+    def __init__(self, deployment: SimulatedDeployment, first: int = 1000) -> None:
+        self.deployment = deployment
         self.number = first
         self.all: list[Pipeline] = []
 
     def begin(self, shape: Shape, **fields: Any) -> Pipeline:
         """Submits a pipeline now; `fields` hold for each of its jobs."""
         given = [self._any_job() | fields for _ in shape]
-        pipeline = Pipeline(self.world, self.number, shape, given)
+        pipeline = Pipeline(self.deployment, self.number, shape, given)
         self.number += len(shape)
         self.all.append(pipeline)
         return pipeline
@@ -125,23 +127,23 @@
     def stream(self, count: int, every: timedelta) -> None:
         """Pipelines of any shape, one after another; the first begins at once."""
         for number in range(count):
-            self.world.clock.later(every * number, lambda: self.begin(any_shape(self.world.rng)))
+            self.deployment.clock.later(every * number, lambda: self.begin(any_shape(self.deployment.rng)))
 
     def cancel_some(self, share: float, within: timedelta) -> None:
         """Of that share of the jobs that are accepted from now on, the user cancels them within that time."""
-        rng = self.world.rng
+        rng = self.deployment.rng
 
         def accepted(job: str) -> None:
             if rng.random() < share:
-                self.world.counts["pipeline cancelled"] += 1
-                self.world.clock.later(within * rng.random(), self.world.abort, job)
+                self.deployment.counts["pipeline cancelled"] += 1
+                self.deployment.clock.later(within * rng.random(), self.deployment.abort, job)
 
-        self.world.when_accepted.append(accepted)
+        self.deployment.when_accepted.append(accepted)
 
     def _any_job(self) -> dict[str, Any]:
-        rng = self.world.rng
+        rng = self.deployment.rng
         return {
-            "crew": rng.choice([team["name"] for team in self.world.at.teams]),
+            "crew": rng.choice([team["name"] for team in self.deployment.at.teams]),
             "urgency": rng.choice(["critical", "high", "normal", "best_effort"]),
             "threads": rng.choice([1, 2, 3]),
             "vcpus": rng.choice([1.0, 2.0, 4.0]),
@@ -153,19 +155,21 @@
     def settle(self, span: timedelta = SETTLED_WITHIN) -> None:
         """Once all is well each pipeline is submitted in full, each job ends, and users hear so: a job that
         nobody cancelled, nor any before it, is done, and what comes after an aborted one is aborted."""
-        world = self.world
-        end = max(world.clock.now(), world.calm) + span
-        while not self._settled() and world.clock.now() < end:
-            world.run(seconds(1))
+        deployment = self.deployment
+        end = max(deployment.clock.now(), deployment.calm) + span
+        while not self._settled() and deployment.clock.now() < end:
+            deployment.run(seconds(1))
         assert all(pipeline.complete for pipeline in self.all), "some jobs were never submitted"
-        open_jobs = {job: world.told.get(job) for job in world.jobs if world.told.get(job) not in OVER}
+        open_jobs = {
+            job: deployment.told.get(job) for job in deployment.jobs if deployment.told.get(job) not in OVER
+        }
         assert not open_jobs, open_jobs
-        for job in world.jobs:
-            aborted = world.dependencies.aborted_ancestors(job)
-            assert not aborted or world.told[job] == "aborted", (job, world.told[job], aborted)
-            assert world.told[job] == "done" or world.dependencies.cancelled(job), job
+        for job in deployment.jobs:
+            aborted = deployment.dependencies.aborted_ancestors(job)
+            assert not aborted or deployment.told[job] == "aborted", (job, deployment.told[job], aborted)
+            assert deployment.told[job] == "done" or deployment.dependencies.cancelled(job), job
 
     def _settled(self) -> bool:
         return all(pipeline.complete for pipeline in self.all) and all(
-            self.world.told.get(job) in OVER for job in self.world.jobs
+            self.deployment.told.get(job) in OVER for job in self.deployment.jobs
         )
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -7,11 +7,11 @@
 from twisted.internet.defer import Deferred
 
 from spindleglade.runtime.clock import ManualClock, seconds
-from tests.standins import Reply
+from tests.fakes.encoding import Reply
 from tests.versions import Version
 
 if TYPE_CHECKING:
-    from tests.world import World
+    from tests.simulated_deployment import SimulatedDeployment
 
 
 class Errors(logging.Handler):
@@ -22,7 +22,7 @@
         self.found: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        # What a world leaves unfinished is closed when it is collected, maybe while another one runs.
+        # What a deployment leaves unfinished is closed when it is collected, maybe while another one runs.
         if "cannot reuse already awaited coroutine" not in record.getMessage():
             self.found.append(record.getMessage())
 
@@ -59,8 +59,10 @@
 class SimHttp:
     """The outgoing requests of one process, answered in the terms of its version."""
 
-    def __init__(self, world: "World", name: str, life: LifeClock, version: Version) -> None:
-        self._world, self._name, self._life = world, name, life
+    def __init__(
+        self, deployment: "SimulatedDeployment", name: str, life: LifeClock, version: Version
+    ) -> None:
+        self._deployment, self._name, self._life = deployment, name, life
         self._no_response = version.named("http.web", "NoResponseError")
         self._not_sent = version.named("http.web", "NotSentError")
         self._response = version.named("http.web", "ClientResponse")
@@ -86,13 +88,13 @@
             if not waiter.called:
                 waiter.errback(self._no_response("timed out"))
 
-        target = self._world.names.get(address, address)
-        if self._world.refuses(self._name, target):
+        target = self._deployment.names.get(address, address)
+        if self._deployment.refuses(self._name, target):
             raise self._not_sent("refused")
-        sockets = self._world.sockets[self._name]
+        sockets = self._deployment.sockets[self._name]
         if target.startswith("n-"):
-            self._world.opened(sockets)
-        self._world.carry(self._name, target, method, path, body or b"", answered)
+            self._deployment.opened(sockets)
+        self._deployment.carry(self._name, target, method, path, body or b"", answered)
         timer = self._life.later(timeout or seconds(5), late)
         try:
             return await waiter
--- a/tests/production_writer.py
+++ b/tests/production_writer.py
@@ -13,8 +13,9 @@
 
 from spindleglade.runtime.clock import seconds
 from tests import production
-from tests.standins import StateService, encode
-from tests.world import World
+from tests.fakes.encoding import encode
+from tests.fakes.state_service import StateService
+from tests.simulated_deployment import SimulatedDeployment
 
 
 class ConditionFailed(Exception):
@@ -22,15 +23,15 @@
 
 
 class ProductionWriter:
-    """Writes to the store of a world as a production process does, conditional on the revisions of keys."""
+    """Writes to a deployment's store as a production process does, conditional on the revisions of keys."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, deployment: SimulatedDeployment) -> None:
+        self.deployment = deployment
         self.alive = True
 
     @property
     def state(self) -> StateService:
-        return self.world.state
+        return self.deployment.state
 
     def keep_lease(self) -> None:
         """Renews the lease of the leader key once a second, for as long as this process lives."""
@@ -38,7 +39,7 @@
         if not self.alive or entry is None:
             return
         self.state.handle("PUT", f"/leases/{entry[2]}", b"")
-        self.world.clock.later(seconds(1), self.keep_lease)
+        self.deployment.clock.later(seconds(1), self.keep_lease)
 
     def end(self) -> None:
         self.alive = False
--- a/tests/record_production.py
+++ b/tests/record_production.py
@@ -16,9 +16,10 @@
 from spindleglade.leadership.peers import Message
 from spindleglade.runtime.clock import seconds
 from tests import recorded_day as day
+from tests.fakes.encoding import Reply
+from tests.fakes.worker import Worker
 from tests.production import COMMIT, HISTORY, LEADER, TASKS, TOKEN, TYPES, VOUCHED
-from tests.standins import Reply, Worker
-from tests.world import World
+from tests.simulated_deployment import SimulatedDeployment
 
 SEED = 6
 
@@ -32,7 +33,7 @@
     writes: list[_RawWrite]
 
 
-class RecordingWorld(World):
+class RecordingDeployment(SimulatedDeployment):
     """Keeps the text of each value as it was sent, and the longest sibling message of each kind."""
 
     def __init__(self, *args: Any, **named: Any) -> None:
@@ -58,59 +59,61 @@
         return super().as_received(message, receiver)
 
 
-def run_until_recorded() -> RecordingWorld:
+def run_until_recorded() -> RecordingDeployment:
     """A loaded day up to a moment at which the store holds a record of each kind."""
-    world = RecordingWorld(SEED, error=0.15, deployment=day.RECORDED)
-    world.run(seconds(3))
+    deployment = RecordingDeployment(SEED, error=0.15, config=day.RECORDED)
+    deployment.run(seconds(3))
     lasts = [4.0 + (index * 7) % 60 for index in range(day.LARGE_ARRAY_TASKS)]
-    world.submit(1, threads=day.LARGE_ARRAY_TASKS, vcpus=1.0, mem_gb=0.1, run_s=lasts, reckon_s=30.0)
+    deployment.submit(1, threads=day.LARGE_ARRAY_TASKS, vcpus=1.0, mem_gb=0.1, run_s=lasts, reckon_s=30.0)
     for number in range(2, 26):
-        world.clock.later(seconds(number * 1.2), _submit_small, world, number)
-    world.run(seconds(14))
-    leader = world.leader()
+        deployment.clock.later(seconds(number * 1.2), _submit_small, deployment, number)
+    deployment.run(seconds(14))
+    leader = deployment.leader()
     assert leader is not None
     follower = (leader + 1) % 3
     # Users' requests are forwarded while the store refuses a node.
-    world.refuse(follower, seconds(4))
+    deployment.refuse(follower, seconds(4))
     # Such a node hears of cancellations from its siblings.
-    world.clock.later(seconds(1), world.abort, "job-000003", 40, world.node_names[leader])
+    deployment.clock.later(seconds(1), deployment.abort, "job-000003", 40, deployment.node_names[leader])
     for _ in range(6):
-        world.submit_odd()
-        world.poll(day.LARGE_ARRAY, world.node_names[follower])
-    world.run(seconds(6))
+        deployment.submit_odd()
+        deployment.poll(day.LARGE_ARRAY, deployment.node_names[follower])
+    deployment.run(seconds(6))
     # Nodes vouch for machines while they cannot reach the leader, and so do not tell it what has ended.
-    names = world.node_names
+    names = deployment.node_names
     for name in names:
-        world.cut(name, names, False, seconds(10))
-    aborted = [job for job in sorted(world.jobs) if job != day.LARGE_ARRAY and world.machines_of(job)][:3]
+        deployment.cut(name, names, False, seconds(10))
+    aborted = [
+        job for job in sorted(deployment.jobs) if job != day.LARGE_ARRAY and deployment.machines_of(job)
+    ][:3]
     for job in aborted:
         # What hangs does not tell of its tasks' end, so they linger in the store.
-        for machine in world.machines_of(job):
-            world.hang(machine, seconds(5))
-        world.abort(job)
-    world.run(seconds(2))
-    for job in sorted(world.jobs):
-        world.poll(job)
-    world.run(seconds(1))
-    _run_until_complete(world)
-    return world
-
-
-def _submit_small(world: World, number: int) -> None:
+        for machine in deployment.machines_of(job):
+            deployment.hang(machine, seconds(5))
+        deployment.abort(job)
+    deployment.run(seconds(2))
+    for job in sorted(deployment.jobs):
+        deployment.poll(job)
+    deployment.run(seconds(1))
+    _run_until_complete(deployment)
+    return deployment
+
+
+def _submit_small(deployment: SimulatedDeployment, number: int) -> None:
     running = 40.0 if number % 4 == 3 else 0.5 + number % 3
-    world.submit(number, crew="blue", threads=1 + number % 3, mem_gb=0.1, run_s=running, reckon_s=5.0)
+    deployment.submit(number, crew="blue", threads=1 + number % 3, mem_gb=0.1, run_s=running, reckon_s=5.0)
 
 
-def _run_until_complete(world: RecordingWorld) -> None:
+def _run_until_complete(deployment: RecordingDeployment) -> None:
     for _ in range(200):
-        if _is_complete(world):
+        if _is_complete(deployment):
             return
-        world.run(seconds(0.1))
+        deployment.run(seconds(0.1))
     raise AssertionError("no moment of the day had a record of each kind")
 
 
-def _is_complete(world: RecordingWorld) -> bool:
-    keys = world.state.keys
+def _is_complete(deployment: RecordingDeployment) -> bool:
+    keys = deployment.state.keys
     chunks = {key: value[0] for key, value in keys.items() if key.startswith(TASKS)}
     lingering = any(
         chunk.get("placed") and keys[f"sg/job/{key.split('/')[2]}"][0]["stage"] == "aborted"
@@ -123,32 +126,32 @@
     return lingering and single and prefixed and tried and stages == {"open", "aborted", "done"}
 
 
-def recorded_store(world: RecordingWorld) -> day.RecordedStore:
-    state = world.state
+def recorded_store(deployment: RecordingDeployment) -> day.RecordedStore:
+    state = deployment.state
     leases = [day.StoredLease(number, lease[0].total_seconds()) for number, lease in state.leases.items()]
     entries = [
-        day.StoredEntry(key, world.values[key], mark, lease)
+        day.StoredEntry(key, deployment.values[key], mark, lease)
         for key, (_, mark, lease) in sorted(state.keys.items())
     ]
     return day.RecordedStore(COMMIT, state.revision, state.next_lease, leases, entries)
 
 
-def recorded_surroundings(world: World) -> day.RecordedSurroundings:
-    machines = [_machine(world, worker) for worker in world.workers.values() if not worker.gone]
+def recorded_surroundings(deployment: SimulatedDeployment) -> day.RecordedSurroundings:
+    machines = [_machine(deployment, worker) for worker in deployment.workers.values() if not worker.gone]
     users = day.RecordedUsers(
-        {job: world.jobs[job] for job in sorted(world.accepted)},
-        {job: world.sent[job].total_seconds() for job in sorted(world.accepted)},
-        world.told,
-        sorted(world.asked_abort),
-        {job: at.total_seconds() for job, at in world.aborted_at.items()},
-        sorted(world.completed),
-        dict(world.starts),
+        {job: deployment.jobs[job] for job in sorted(deployment.accepted)},
+        {job: deployment.sent[job].total_seconds() for job in sorted(deployment.accepted)},
+        deployment.told,
+        sorted(deployment.asked_abort),
+        {job: at.total_seconds() for job, at in deployment.aborted_at.items()},
+        sorted(deployment.completed),
+        dict(deployment.starts),
     )
-    now = world.clock.now().total_seconds()
-    return day.RecordedSurroundings(now, machines, world.cloud.made, world.cloud.answers, users)
+    now = deployment.clock.now().total_seconds()
+    return day.RecordedSurroundings(now, machines, deployment.cloud.made, deployment.cloud.answers, users)
 
 
-def _machine(world: World, worker: Worker) -> day.RecordedMachine:
+def _machine(deployment: SimulatedDeployment, worker: Worker) -> day.RecordedMachine:
     machine = worker.machine
     tasks = [
         day.RecordedTask(
@@ -156,7 +159,7 @@
             task.attempt,
             task.stage,
             task.cause,
-            None if task.stage == "exited" else (task.due - world.clock.now()).total_seconds(),
+            None if task.stage == "exited" else (task.due - deployment.clock.now()).total_seconds(),
         )
         for task in worker.tasks.values()
     ]
@@ -175,13 +178,13 @@
 
 
 def main() -> None:
-    world = run_until_recorded()
-    assert world.messages.keys() == {"Ping", "Relay", "Relayed", "Forward", "Forwarded"}
+    deployment = run_until_recorded()
+    assert deployment.messages.keys() == {"Ping", "Relay", "Relayed", "Forward", "Forwarded"}
     day.FIXTURES.mkdir(parents=True, exist_ok=True)
     for name, content in (
-        ("store", recorded_store(world)),
-        ("messages", world.messages),
-        ("surroundings", recorded_surroundings(world)),
+        ("store", recorded_store(deployment)),
+        ("messages", deployment.messages),
+        ("surroundings", recorded_surroundings(deployment)),
     ):
         text = msgspec.json.format(msgspec.json.encode(content), indent=1)
         (day.FIXTURES / f"{name}.json").write_bytes(text + b"\n")
--- a/tests/recorded_day.py
+++ b/tests/recorded_day.py
@@ -1,7 +1,7 @@
 """A day that production has run the first part of: the store as it left it, and machines and users with it.
 
 The store's part is bytes that production wrote (fixtures/production, made by record_production.py). What the
-machines run and what users were told stands beside it, so that a world can go on from there.
+machines run and what users were told stands beside it, so that a deployment can go on from there.
 """
 
 from datetime import timedelta
@@ -12,13 +12,14 @@
 from twisted.internet.defer import Deferred
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment import Deployment
-from tests.standins import Machine, Task, Worker
-from tests.world import World
+from tests.deployment_config import DeploymentConfig
+from tests.fakes.cloud import Machine
+from tests.fakes.worker import Task, Worker
+from tests.simulated_deployment import SimulatedDeployment
 
 FIXTURES = Path(__file__).parent / "fixtures" / "production"
 # Such values that production gives an array of 250 tasks one chunk.
-RECORDED = Deployment(
+RECORDED = DeploymentConfig(
     capacity=24,
     machine_cpus=16.0,
     value_kb=16.85,
@@ -112,75 +113,79 @@
     return msgspec.json.decode((FIXTURES / "surroundings.json").read_bytes(), type=RecordedSurroundings)
 
 
-def recorded_world(seed: int, deployment: Deployment = RECORDED, nodes: tuple[int, ...] = ()) -> World:
-    """A world that goes on from the recorded moment, with those nodes started."""
+def recorded_deployment(
+    seed: int, config: DeploymentConfig = RECORDED, nodes: tuple[int, ...] = ()
+) -> SimulatedDeployment:
+    """A deployment that goes on from the recorded moment, with those nodes started."""
 
-    def begin(world: World) -> None:
-        _restore(world)
+    def begin(deployment: SimulatedDeployment) -> None:
+        _restore(deployment)
         for index in nodes:
-            world.start_node(index)
+            deployment.start_node(index)
 
-    return World(seed, deployment=deployment, begin=begin)
+    return SimulatedDeployment(seed, config=config, begin=begin)
 
 
-def _restore(world: World) -> None:
+def _restore(deployment: SimulatedDeployment) -> None:
     surroundings = read_surroundings()
-    world.clock.advance(seconds(surroundings.at_s))
-    _restore_store(world, read_store())
-    _restore_users(world, surroundings.users)
-    _restore_machines(world, surroundings)
+    deployment.clock.advance(seconds(surroundings.at_s))
+    _restore_store(deployment, read_store())
+    _restore_users(deployment, surroundings.users)
+    _restore_machines(deployment, surroundings)
 
 
-def _restore_store(world: World, store: RecordedStore) -> None:
-    state = world.state
+def _restore_store(deployment: SimulatedDeployment, store: RecordedStore) -> None:
+    state = deployment.state
     state.revision, state.next_lease = store.turn, store.next_lease
     for lease in store.leases:
         ttl = seconds(lease.ttl_s)
-        state.leases[lease.number] = [ttl, world.clock.now() + ttl]
+        state.leases[lease.number] = [ttl, deployment.clock.now() + ttl]
     for entry in store.entries:
         state.keys[entry.key] = (msgspec.json.decode(entry.value), entry.mark, entry.lease)
 
 
-def _restore_users(world: World, users: RecordedUsers) -> None:
-    world.jobs.update(users.jobs)
-    world.sent.update({job: seconds(at) for job, at in users.sent_s.items()})
-    world.told.update(users.told)
-    world.accepted.update(users.told)
-    world.asked_abort.update(users.asked_abort)
-    world.aborted_at.update({job: seconds(at) for job, at in users.aborted_at_s.items()})
-    world.completed.update(users.completed)
-    world.starts.update(users.starts)
+def _restore_users(deployment: SimulatedDeployment, users: RecordedUsers) -> None:
+    deployment.jobs.update(users.jobs)
+    deployment.sent.update({job: seconds(at) for job, at in users.sent_s.items()})
+    deployment.told.update(users.told)
+    deployment.accepted.update(users.told)
+    deployment.asked_abort.update(users.asked_abort)
+    deployment.aborted_at.update({job: seconds(at) for job, at in users.aborted_at_s.items()})
+    deployment.completed.update(users.completed)
+    deployment.starts.update(users.starts)
 
 
-def _restore_machines(world: World, surroundings: RecordedSurroundings) -> None:
-    world.cloud.made = surroundings.machines_made
-    world.cloud.answers.update(surroundings.rentals)
+def _restore_machines(deployment: SimulatedDeployment, surroundings: RecordedSurroundings) -> None:
+    deployment.cloud.made = surroundings.machines_made
+    deployment.cloud.answers.update(surroundings.rentals)
     for recorded in surroundings.machines:
         since = seconds(recorded.since_s)
         machine = Machine(recorded.name, recorded.type, recorded.zone, recorded.spot, since, "running")
-        world.cloud.machines[machine.name] = machine
-        world.machine_up(machine)
-        worker = world.workers[machine.name]
+        deployment.cloud.machines[machine.name] = machine
+        deployment.machine_up(machine)
+        worker = deployment.workers[machine.name]
         worker.session, worker.tally, worker.token = recorded.session, recorded.tally, recorded.token
         worker.done.update(recorded.done)
         for task in recorded.tasks:
-            _restore_task(world, worker, task)
+            _restore_task(deployment, worker, task)
 
 
-def _restore_task(world: World, worker: Worker, recorded: RecordedTask) -> None:
+def _restore_task(deployment: SimulatedDeployment, worker: Worker, recorded: RecordedTask) -> None:
     task = Task(recorded.name, recorded.attempt, recorded.stage, recorded.cause)
     worker.tasks[(task.name, task.attempt)] = task
     if task.stage == "running":
-        world.task_on(worker.machine.name, task.name)
+        deployment.task_on(worker.machine.name, task.name)
     if recorded.left_s is not None:
         worker.resume(task, seconds(recorded.left_s))
 
 
-def answers_everywhere(world: World, jobs: list[str]) -> dict[tuple[str, str], tuple[int, Any]]:
+def answers_everywhere(
+    deployment: SimulatedDeployment, jobs: list[str]
+) -> dict[tuple[str, str], tuple[int, Any]]:
     """What each node answers for each job, asked straight: the status and the body."""
     got: dict[tuple[str, str], tuple[int, Any]] = {}
     waiting: list[Deferred] = []
-    for name, node in world.nodes.items():
+    for name, node in deployment.nodes.items():
         for job in jobs:
             waiting.append(Deferred.fromCoroutine(node.handle("GET", f"/submissions/{job}", b"")))
             waiting[-1].addCallback(
@@ -188,6 +193,6 @@
                     {at: (answer.status, msgspec.json.decode(answer.body))}
                 )
             )
-    world.run(timedelta(seconds=3))
+    deployment.run(timedelta(seconds=3))
     assert len(got) == len(waiting)
     return got
--- a/tests/sibling_links.py
+++ b/tests/sibling_links.py
@@ -9,35 +9,35 @@
 from tests.processes import LifeClock
 
 if TYPE_CHECKING:
-    from tests.world import World
+    from tests.simulated_deployment import SimulatedDeployment
 
 
 class SimConnection:
     """One end of a connection between two controllers. What is sent arrives in its order, once the network
     lets it through; an end that was given up takes nothing in any more."""
 
-    def __init__(self, world: "World", own: str, other: str, received: Any) -> None:
-        self._world, self._own, self._other = world, own, other
+    def __init__(self, deployment: "SimulatedDeployment", own: str, other: str, received: Any) -> None:
+        self._deployment, self._own, self._other = deployment, own, other
         self._on_message = received
-        self._lives = [world.lives[own], world.lives[other]]
+        self._lives = [deployment.lives[own], deployment.lives[other]]
         self.peer: SimConnection | None = None
         self.transport = self
         # Told when the other process ends.
         self.lost: Callable[[], None] = lambda: None
 
     def send(self, message: Message) -> None:
-        world = self._world
-        if self._other in world.silent:
-            world.sent_to_silent[self._own, type(message)].append(world.clock.now())
-        received = world.as_received(message, self._other)
-        world.pass_to_sibling(self._own, self._other, lambda: self._arrive(received))
+        deployment = self._deployment
+        if self._other in deployment.silent:
+            deployment.sent_to_silent[self._own, type(message)].append(deployment.clock.now())
+        received = deployment.as_received(message, self._other)
+        deployment.pass_to_sibling(self._own, self._other, lambda: self._arrive(received))
 
     def _arrive(self, message: Message) -> None:
         if self.peer is not None and all(life.alive for life in self._lives):
             self.peer._on_message(self.peer, message)
 
     def abortConnection(self) -> None:
-        self._world.connections_of_siblings.pop(self, None)
+        self._deployment.connections_of_siblings.pop(self, None)
 
     def end_with(self, life: LifeClock) -> None:
         if life in self._lives:
@@ -45,22 +45,24 @@
             self.lost()
 
 
-def connect_links(world: "World", own: str, links: PeerNetwork) -> PeerNetwork:
+def connect_links(deployment: "SimulatedDeployment", own: str, links: PeerNetwork) -> PeerNetwork:
     """Puts a controller's links on the simulated network."""
     for link in links.connections:
-        link._connect = partial(_connect, world, own, link)
+        link._connect = partial(_connect, deployment, own, link)
     return links
 
 
-async def _connect(world: "World", own: str, link: PeerConnection, host: str, port: int) -> None:
-    other, life = link.peer.name, world.lives[own]
-    if other not in world.nodes:
+async def _connect(
+    deployment: "SimulatedDeployment", own: str, link: PeerConnection, host: str, port: int
+) -> None:
+    other, life = link.peer.name, deployment.lives[own]
+    if other not in deployment.nodes:
         raise ConnectionRefusedError
-    if world.is_cut(own, other) and other not in world.silent:
+    if deployment.is_cut(own, other) and other not in deployment.silent:
         await sleep(life, seconds(1))
         raise TimeoutError
-    near = SimConnection(world, own, other, link._on_message)
-    far = SimConnection(world, other, own, world.nodes[other].peers._on_request)
+    near = SimConnection(deployment, own, other, link._on_message)
+    far = SimConnection(deployment, other, own, deployment.nodes[other].peers._on_request)
     near.peer, far.peer = far, near
 
     def lost() -> None:
@@ -69,5 +71,5 @@
             link._on_connection_lost()
 
     near.lost = lost
-    world.connections_of_siblings[near] = None
+    deployment.connections_of_siblings[near] = None
     link._connection = near
--- a/tests/world.py
+++ b/tests/simulated_deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process on a simulated clock: real nodes among stand-ins, and a network that
+"""A whole deployment in one process on a simulated clock: real nodes among fakes, and a network that
 loses, holds back and repeats. Every rule of the protocol is checked at the moment it could be broken."""
 
 import logging
@@ -17,34 +17,37 @@
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
-from tests.deployment import CANCEL, TYPES, Deployment, description, platform_settings
-from tests.liveness import LivenessRules
+from tests.deployment_config import CANCEL, TYPES, DeploymentConfig, description, platform_settings
+from tests.fakes.cloud import Cloud, Machine
+from tests.fakes.encoding import Reply, decode, encode
+from tests.fakes.state_service import StateService
+from tests.fakes.worker import Worker
+from tests.invariants.dependency_invariants import OVER, DependencyInvariants
+from tests.invariants.liveness_invariants import LivenessInvariants
+from tests.invariants.service_invariants import ServiceInvariants
 from tests.processes import Errors, LifeClock, SimHttp
 from tests.production_names import viewed
-from tests.rules import OVER, DependencyRules
-from tests.service_rules import ServiceRules
 from tests.sibling_links import SimConnection, connect_links
-from tests.standins import Cloud, Machine, Reply, StateService, Worker, decode, encode
 from tests.versions import CURRENT, Version
 
 # How long the users allow that no question about a job is answered once all troubles are over.
 FORGOTTEN = seconds(75)
 
 
-class World:
+class SimulatedDeployment:
     def __init__(
         self,
         seed: int,
         capacity: int = 5,
         error: float = 0.0,
         settings: OperatorSettings | None = None,
-        deployment: Deployment | None = None,
-        begin: Callable[["World"], None] | None = None,
+        config: DeploymentConfig | None = None,
+        begin: Callable[["SimulatedDeployment"], None] | None = None,
     ) -> None:
-        """`begin` sets up what there is when the world begins, and starts the nodes that run then; without it
-        the world is empty and all nodes start at once."""
+        """`begin` sets up what there is when the deployment begins, and starts the nodes that run then;
+        without it the deployment is empty and all nodes start at once."""
         self.settings = settings or OperatorSettings()
-        self.at = deployment or Deployment(capacity=capacity)
+        self.at = config or DeploymentConfig(capacity=capacity)
         self.clock = ManualClock()
         self.rng = random.Random(seed)
         self.error = error
@@ -101,7 +104,7 @@
         # Whether users ask at all nodes at once after what they were told; of that share they cancel as well.
         self.close_looks = False
         self.cancels_at_once = 0.0
-        # When the last trouble is over. World.run holds the service to more from there on.
+        # When the last trouble is over. SimulatedDeployment.run holds the service to more from there on.
         self.calm = timedelta(0)
         # What users did and were told.
         self.jobs: dict[str, dict] = {}
@@ -130,9 +133,9 @@
         # Starts after a confirmed cancellation that came within `cancel_s`.
         self.started_late: list[str] = []
         self.broken: list[str] = []
-        self.dependencies = DependencyRules(self)
-        self.liveness = LivenessRules(self)
-        self.service = ServiceRules(self)
+        self.dependencies = DependencyInvariants(self)
+        self.liveness = LivenessInvariants(self)
+        self.service = ServiceInvariants(self)
         # What nodes may log as an error, because a test makes it happen.
         self.expected_errors: tuple[str, ...] = ()
         # Told of each job when its user first hears that it is accepted, and when it is over.
@@ -228,7 +231,7 @@
         self.calm = max(self.calm, self.clock.now() + length)
 
     def during(self, length: timedelta, name: str, value: Any) -> None:
-        """Sets one of the world's own figures for a while."""
+        """Sets one of the deployment's own figures for a while."""
         self.trouble(length)
         none = type(getattr(self, name))()
         setattr(self, name, value)
--- a/tests/stored_tasks.py
+++ b/tests/stored_tasks.py
@@ -3,14 +3,14 @@
 from typing import Any
 
 from tests.production import JOBS, TASKS, split_chunk_key
-from tests.world import World
+from tests.simulated_deployment import SimulatedDeployment
 
 # Smaller pieces of a job's tasks, by the first task of each.
 PARTS = "sg/part/"
 
 
 class StoredTasks:
-    """Looks at the store at each transaction, and notes in `world.broken` what was lost by it.
+    """Looks at the store at each transaction, and notes in `deployment.broken` what was lost by it.
 
     A task that was done stays so, and the highest attempt of one that is not done never falls, in whichever
     keys a job's tasks stand, for as long as the job is open. So a leader that takes over at any point gives
@@ -18,18 +18,20 @@
     kept.
     """
 
-    def __init__(self, world: World) -> None:
-        self._world = world
+    def __init__(self, deployment: SimulatedDeployment) -> None:
+        self._deployment = deployment
         self._done: dict[str, set[int]] = {}
         self._attempts: dict[str, dict[int, int]] = {}
-        self._write = world.state._write
+        self._write = deployment.state._write
         self._look()
-        world.state._write = self._write_and_look  # type: ignore[method-assign]
+        deployment.state._write = self._write_and_look  # type: ignore[method-assign]
 
     def _write_and_look(self, writes: list[dict]) -> None:
         # Before it is told to anybody: the store tells watchers within the write.
         self._write(writes)
-        self._world.counts["parts written"] += sum(write.get("set", "").startswith(PARTS) for write in writes)
+        self._deployment.counts["parts written"] += sum(
+            write.get("set", "").startswith(PARTS) for write in writes
+        )
         if any(self._about_tasks(write) for write in writes):
             self._look()
 
@@ -62,28 +64,28 @@
     def _values(self) -> dict[str, dict[int, dict[str, Any]]]:
         """By job and first task what a value holds; a chunk that is not there holds nothing."""
         found: dict[str, dict[int, dict[str, Any]]] = {}
-        for key, (value, _, _) in self._world.state.keys.items():
+        for key, (value, _, _) in self._deployment.state.keys.items():
             if not key.startswith((TASKS, PARTS)):
                 continue
             job, number = split_chunk_key(key) if key.startswith(TASKS) else _split_part_key(key)
-            size = self._world.state.keys[JOBS + job][0]["chunk"]
+            size = self._deployment.state.keys[JOBS + job][0]["chunk"]
             values = found.setdefault(job, {at: {} for at in range(0, self._tasks(job), size)})
             values[number * size if key.startswith(TASKS) else number] = value
         return found
 
     def _tasks(self, job: str) -> int:
-        return self._world.state.keys[JOBS + job][0]["spec"]["threads"]
+        return self._deployment.state.keys[JOBS + job][0]["spec"]["threads"]
 
     def _stage(self, job: str) -> str:
-        return self._world.state.keys[JOBS + job][0]["stage"]
+        return self._deployment.state.keys[JOBS + job][0]["stage"]
 
     def _compare(self, job: str, done: set[int], attempts: dict[int, int]) -> None:
         lost = self._done.get(job, set()) - done
         if lost:
-            self._world.broken.append(f"lost in the store: {job} tasks {sorted(lost)} are done")
+            self._deployment.broken.append(f"lost in the store: {job} tasks {sorted(lost)} are done")
         for task, attempt in self._attempts.get(job, {}).items():
             if task not in done and attempts.get(task, 0) < attempt:
-                self._world.broken.append(f"lost in the store: attempt {attempt} of {job}/{task}")
+                self._deployment.broken.append(f"lost in the store: attempt {attempt} of {job}/{task}")
 
 
 def _split_part_key(key: str) -> tuple[str, int]:
@@ -103,15 +105,15 @@
 class Attempts:
     """Every attempt that ever came to a machine: no number is given twice."""
 
-    def __init__(self, world: World) -> None:
-        self._world = world
+    def __init__(self, deployment: SimulatedDeployment) -> None:
+        self._deployment = deployment
         self._seen: dict[tuple[str, int], tuple[str, int]] = {}
         self._sample()
 
     def _sample(self) -> None:
-        for name, worker in self._world.workers.items():
+        for name, worker in self._deployment.workers.items():
             for at in worker.tasks:
                 where = (name, worker.session)
                 if self._seen.setdefault(at, where) != where:
-                    self._world.broken.append(f"attempt {at} on {where} and on {self._seen[at]}")
-        self._world.clock.later(self._world.at.report / 10, self._sample)
+                    self._deployment.broken.append(f"attempt {at} on {where} and on {self._seen[at]}")
+        self._deployment.clock.later(self._deployment.at.report / 10, self._sample)
--- a/tests/test_both_versions.py
+++ b/tests/test_both_versions.py
@@ -1,18 +1,18 @@
 """Controllers of the version in production and of this one, serving side by side on one store, with the same
-machines and users. World.run checks every rule at each moment, whichever version leads."""
+machines and users. SimulatedDeployment.run checks every rule at each moment, whichever version leads."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment import Deployment
+from tests.deployment_config import DeploymentConfig
 from tests.faults import FAULTS, do
 from tests.pipelines import Pipelines, chain, diamond, fan_in
+from tests.simulated_deployment import SimulatedDeployment
 from tests.stored_tasks import Attempts, StoredTasks
 from tests.versions import has_history, is_of_production, production
 from tests.waiting import settle
-from tests.world import World
 
 pytestmark = pytest.mark.skipif(
     not has_history(), reason="not a checkout: production is in the history alone"
@@ -20,7 +20,7 @@
 
 TEAMS = tuple({"name": name, "cpus": 60.0, "cpus_max": 120.0} for name in ("red", "blue"))
 NEXT_LIMITS = {"value_kb": 2.0, "txn_ops": 4, "rps": 150.0, "write_rps": 40.0}
-DEPLOYMENT = Deployment(capacity=14, machine_cpus=16.0, teams=TEAMS, next_limits=NEXT_LIMITS)
+CONFIG = DeploymentConfig(capacity=14, machine_cpus=16.0, teams=TEAMS, next_limits=NEXT_LIMITS)
 # Tasks of an array whose chunk, as production sizes it, is larger than the next limit on values.
 LARGE = 150
 ALL_NODES = (0, 1, 2)
@@ -29,26 +29,26 @@
 def begin_day(seed, old=ALL_NODES, **named):
     """Those controllers run production, the others this version; work is under way."""
 
-    def begin(world):
+    def begin(deployment):
         for index in ALL_NODES:
             if index in old:
-                world.versions[world.node_names[index]] = production()
-            world.start_node(index)
+                deployment.versions[deployment.node_names[index]] = production()
+            deployment.start_node(index)
 
-    world = World(seed, deployment=DEPLOYMENT, begin=begin, **named)
-    StoredTasks(world)
-    Attempts(world)
-    world.run(seconds(3))
-    world.watch(world.submit(1, threads=LARGE, vcpus=1.0, mem_gb=0.1, run_s=12.0))
-    return world
+    deployment = SimulatedDeployment(seed, config=CONFIG, begin=begin, **named)
+    StoredTasks(deployment)
+    Attempts(deployment)
+    deployment.run(seconds(3))
+    deployment.watch(deployment.submit(1, threads=LARGE, vcpus=1.0, mem_gb=0.1, run_s=12.0))
+    return deployment
 
 
-def stream(world, count, every, first=100):
+def stream(deployment, count, every, first=100):
     """Arrays of all priorities from both teams; users cancel some of them while they run."""
 
     def submit(number):
-        rng = world.rng
-        job = world.submit(
+        rng = deployment.rng
+        job = deployment.submit(
             number,
             crew=rng.choice(["red", "blue"]),
             urgency=rng.choice(["critical", "high", "normal", "best_effort"]),
@@ -58,76 +58,78 @@
             run_s=rng.uniform(0.5, 6.0),
             knot_s=rng.choice([0.0, 2.0]),
         )
-        world.watch(job)
+        deployment.watch(job)
         if rng.random() < 0.2:
-            world.clock.later(seconds(rng.uniform(0.2, 6.0)), world.abort, job)
+            deployment.clock.later(seconds(rng.uniform(0.2, 6.0)), deployment.abort, job)
 
     for at in range(count):
-        world.clock.later(seconds(at * every), submit, first + at)
+        deployment.clock.later(seconds(at * every), submit, first + at)
 
 
-def upgrade(world, index, away=1.5):
+def upgrade(deployment, index, away=1.5):
     """Ends the process; its successor runs this version."""
-    world.trouble(seconds(away))
-    world.kill_node(index)
-    world.versions.pop(world.node_names[index], None)
-    world.clock.later(seconds(away), world.start_once, index)
+    deployment.trouble(seconds(away))
+    deployment.kill_node(index)
+    deployment.versions.pop(deployment.node_names[index], None)
+    deployment.clock.later(seconds(away), deployment.start_once, index)
 
 
-def old_nodes(world):
+def old_nodes(deployment):
     """The controllers that run production, by their numbers."""
-    return [at for at, name in enumerate(world.node_names) if name in world.versions]
+    return [at for at, name in enumerate(deployment.node_names) if name in deployment.versions]
 
 
-def leading_version(world):
+def leading_version(deployment):
     """`production` or `current`, by who leads; None: nobody does."""
-    leader = world.leader()
+    leader = deployment.leader()
     if leader is None:
         return None
-    return "production" if is_of_production(world.nodes[world.node_names[leader]]) else "current"
+    return "production" if is_of_production(deployment.nodes[deployment.node_names[leader]]) else "current"
 
 
-def finish_day(world):
+def finish_day(deployment):
     """This version runs everywhere: pipelines begin, some after jobs of production, and the limits fall."""
-    assert not old_nodes(world)
-    pipelines = Pipelines(world, 5000)
+    assert not old_nodes(deployment)
+    pipelines = Pipelines(deployment, 5000)
     for shape in (chain(4, late=True), diamond(), fan_in(4)):
         pipelines.begin(shape, threads=1, vcpus=1.0, mem_gb=0.1, run_s=2.0)
-    world.watch(world.submit(6000, awaits=["job-000001"], threads=1, vcpus=1.0, mem_gb=0.1, run_s=1.0))
-    world.trouble(seconds(6))
-    world.clock.later(seconds(2), lambda: world.state.lower_limits(**NEXT_LIMITS))
+    deployment.watch(
+        deployment.submit(6000, awaits=["job-000001"], threads=1, vcpus=1.0, mem_gb=0.1, run_s=1.0)
+    )
+    deployment.trouble(seconds(6))
+    deployment.clock.later(seconds(2), lambda: deployment.state.lower_limits(**NEXT_LIMITS))
     pipelines.cancel_some(0.1, seconds(4))
-    world.run(seconds(8))
-    settle(world, 150.0, after_troubles=True)
+    deployment.run(seconds(8))
+    settle(deployment, 150.0, after_troubles=True)
     pipelines.settle()
 
 
 @pytest.mark.parametrize("order", [(0, 1, 2), (2, 1, 0), (1, 2, 0)], ids=str)
 @pytest.mark.parametrize("seed", range(2))
 def test_a_day_with_the_upgrade(seed, order):
-    world = begin_day(900 + seed)
-    assert leading_version(world) == "production"
-    stream(world, 36, 0.5)
+    deployment = begin_day(900 + seed)
+    assert leading_version(deployment) == "production"
+    stream(deployment, 36, 0.5)
     for number, index in enumerate(order):
-        world.clock.later(seconds(4 + 4 * number), upgrade, world, index)
+        deployment.clock.later(seconds(4 + 4 * number), upgrade, deployment, index)
     # A process that dies before its turn comes back as it was.
-    world.clock.later(seconds(5), world.restart, order[2], seconds(0.5))
-    world.trouble(seconds(16))
-    world.run(seconds(18))
-    assert leading_version(world) == "current"
-    finish_day(world)
+    deployment.clock.later(seconds(5), deployment.restart, order[2], seconds(0.5))
+    deployment.trouble(seconds(16))
+    deployment.run(seconds(18))
+    assert leading_version(deployment) == "current"
+    finish_day(deployment)
 
 
-def hand_over(world):
+def hand_over(deployment):
     """All processes of the version that leads end for a while and come back as they were; one of the other
     version leads meanwhile."""
-    leading = leading_version(world)
-    old = set(old_nodes(world))
+    leading = leading_version(deployment)
+    old = set(old_nodes(deployment))
     for index in old if leading == "production" else set(ALL_NODES) - old:
-        world.restart(index, seconds(9))
+        deployment.restart(index, seconds(9))
     for _ in range(90):
-        world.run(seconds(0.1))
-        if leading_version(world) not in (None, leading):
+        deployment.run(seconds(0.1))
+        if leading_version(deployment) not in (None, leading):
             return
     raise AssertionError(f"nobody took over from {leading}")
 
@@ -135,48 +137,50 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_each_version_takes_over_from_the_other(seed):
     """In turn, with work under way, while one, and then two, of the three controllers run this version."""
-    world = begin_day(910 + seed)
-    stream(world, 90, 0.5)
+    deployment = begin_day(910 + seed)
+    stream(deployment, 90, 0.5)
     # Some of its tasks run at every handover.
     lasts = [4.0 + 3 * index for index in range(40)]
-    world.watch(world.submit(2, crew="blue", threads=40, vcpus=1.0, mem_gb=0.1, run_s=lasts))
-    world.run(seconds(12))
+    deployment.watch(deployment.submit(2, crew="blue", threads=40, vcpus=1.0, mem_gb=0.1, run_s=lasts))
+    deployment.run(seconds(12))
     for number in range(2):
-        upgrade(world, (seed + number) % 3)
-        world.run(seconds(3))
+        upgrade(deployment, (seed + number) % 3)
+        deployment.run(seconds(3))
         for _ in range(4):
-            assert any(world.on.values())
-            hand_over(world)
-            world.run(seconds(2))
-    world.run(seconds(9))
-    upgrade(world, (seed + 2) % 3)
-    world.run(seconds(12))
-    finish_day(world)
+            assert any(deployment.on.values())
+            hand_over(deployment)
+            deployment.run(seconds(2))
+    deployment.run(seconds(9))
+    upgrade(deployment, (seed + 2) % 3)
+    deployment.run(seconds(12))
+    finish_day(deployment)
 
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
 def test_transactions_without_an_answer_between_the_versions(seed, which):
-    world = begin_day(920 + seed)
-    stream(world, 40, 0.5)
-    world.during(seconds(22), which, 0.25)
+    deployment = begin_day(920 + seed)
+    stream(deployment, 40, 0.5)
+    deployment.during(seconds(22), which, 0.25)
     for number in range(3):
-        world.clock.later(seconds(3 + 5 * number), upgrade, world, (seed + number) % 3)
-        world.clock.later(seconds(6 + 5 * number), lambda: world.restart(world.leader() or 0, seconds(0.4)))
-    world.run(seconds(26))
-    assert world.counts["astray"] > 5
-    finish_day(world)
+        deployment.clock.later(seconds(3 + 5 * number), upgrade, deployment, (seed + number) % 3)
+        deployment.clock.later(
+            seconds(6 + 5 * number), lambda: deployment.restart(deployment.leader() or 0, seconds(0.4))
+        )
+    deployment.run(seconds(26))
+    assert deployment.counts["astray"] > 5
+    finish_day(deployment)
 
 
 @settings(max_examples=12)
 @given(st.integers(0, 1 << 30), FAULTS, st.permutations(ALL_NODES))
 def test_no_rule_is_broken_between_the_versions_whatever_fails(seed, faults, order):
-    world = begin_day(seed)
-    stream(world, 30, 0.8)
+    deployment = begin_day(seed)
+    stream(deployment, 30, 0.8)
     for kind, at, length, hold, pick in faults:
-        world.clock.later(seconds(at), do, world, kind, length, hold, pick)
+        deployment.clock.later(seconds(at), do, deployment, kind, length, hold, pick)
     for number, index in enumerate(order):
-        world.clock.later(seconds(5 + 7 * number), upgrade, world, index)
-    world.trouble(seconds(26))
-    world.run(seconds(26))
-    finish_day(world)
+        deployment.clock.later(seconds(5 + 7 * number), upgrade, deployment, index)
+    deployment.trouble(seconds(26))
+    deployment.run(seconds(26))
+    finish_day(deployment)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from spindleglade.runtime.clock import seconds
+from tests.fakes.encoding import encode
 from tests.faults import FAULTS, do
 from tests.production import HISTORY, JOBS, TASKS, VOUCHED, decode_record, split_chunk_key
-from tests.recorded_day import LARGE_ARRAY, RECORDED, recorded_world
-from tests.standins import encode
+from tests.recorded_day import LARGE_ARRAY, RECORDED, recorded_deployment
 from tests.stored_tasks import PARTS, Attempts, StoredTasks
 from tests.waiting import settle
 
@@ -21,156 +21,159 @@
 
 def begin_day(seed):
     """Production's day goes on with this version, which is told of the next limits; new arrays come in."""
-    world = recorded_world(seed, ANNOUNCED, nodes=(0, 1, 2))
-    StoredTasks(world)
-    Attempts(world)
-    for job in list(world.jobs):
-        world.watch(job)
+    deployment = recorded_deployment(seed, ANNOUNCED, nodes=(0, 1, 2))
+    StoredTasks(deployment)
+    Attempts(deployment)
+    for job in list(deployment.jobs):
+        deployment.watch(job)
     for number in range(700, 706):
-        world.clock.later(seconds(2 + (number - 700) * 2), submit_array, world, number)
-    return world
+        deployment.clock.later(seconds(2 + (number - 700) * 2), submit_array, deployment, number)
+    return deployment
 
 
-def submit_array(world, number):
+def submit_array(deployment, number):
     array = {"threads": 60, "vcpus": 1.0, "mem_gb": 0.1, "run_s": 3.0, "crew": "blue"}
-    world.watch(world.submit(number, **array))
+    deployment.watch(deployment.submit(number, **array))
 
 
-def lower(world, at):
-    world.trouble(seconds(at + 5))
-    world.clock.later(seconds(at), lambda: world.state.lower_limits(**NEXT))
+def lower(deployment, at):
+    deployment.trouble(seconds(at + 5))
+    deployment.clock.later(seconds(at), lambda: deployment.state.lower_limits(**NEXT))
 
 
-def settle_day(world):
-    settle(world, 150.0, after_troubles=True)
+def settle_day(deployment):
+    settle(deployment, 150.0, after_troubles=True)
     # A transaction that was too large is never sent again unchanged.
-    refused = world.state.too_large
+    refused = deployment.state.too_large
     assert len(set(refused)) == len(refused)
 
 
-def largest_value(world):
-    return max(len(encode(value)) for value, _, _ in world.state.keys.values())
+def largest_value(deployment):
+    return max(len(encode(value)) for value, _, _ in deployment.state.keys.values())
 
 
 @pytest.mark.parametrize("after", [0.1, 1.0, 4.0, 9.0])
 def test_limits_that_fall_amid_load_lose_nothing(after):
     """Before anybody leads, as a leader reads, and while it has rewritten some chunks already."""
-    world = begin_day(600)
-    lower(world, after)
-    assert largest_value(world) > NEXT["value_kb"] * 1024
-    world.run(seconds(30))
-    assert world.counts["parts written"] > 3
-    settle_day(world)
-    assert world.told[LARGE_ARRAY] == "done"
-    assert not any(key.startswith((TASKS + LARGE_ARRAY, PARTS + LARGE_ARRAY)) for key in world.state.keys)
+    deployment = begin_day(600)
+    lower(deployment, after)
+    assert largest_value(deployment) > NEXT["value_kb"] * 1024
+    deployment.run(seconds(30))
+    assert deployment.counts["parts written"] > 3
+    settle_day(deployment)
+    assert deployment.told[LARGE_ARRAY] == "done"
+    assert not any(
+        key.startswith((TASKS + LARGE_ARRAY, PARTS + LARGE_ARRAY)) for key in deployment.state.keys
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_leaders_change_while_chunks_are_moved(seed):
-    world = begin_day(610 + seed)
-    lower(world, 3.0)
-    world.clock.later(seconds(2.5), world.change_leaders, 8, seconds(16))
-    world.run(seconds(30))
-    assert world.counts["leaders"] > 3
-    settle_day(world)
+    deployment = begin_day(610 + seed)
+    lower(deployment, 3.0)
+    deployment.clock.later(seconds(2.5), deployment.change_leaders, 8, seconds(16))
+    deployment.run(seconds(30))
+    assert deployment.counts["leaders"] > 3
+    settle_day(deployment)
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
 def test_transactions_without_an_answer_while_chunks_are_moved(seed, which):
-    world = begin_day(620 + seed)
-    lower(world, 3.0)
-    world.during(seconds(15), which, 0.3)
+    deployment = begin_day(620 + seed)
+    lower(deployment, 3.0)
+    deployment.during(seconds(15), which, 0.3)
     for at in (5, 9):
-        world.clock.later(
-            seconds(at), lambda: world.leader() is None or world.restart(world.leader(), seconds(1))
+        deployment.clock.later(
+            seconds(at),
+            lambda: deployment.leader() is None or deployment.restart(deployment.leader(), seconds(1)),
         )
-    world.run(seconds(30))
-    assert world.counts["astray"] > 5
-    settle_day(world)
+    deployment.run(seconds(30))
+    assert deployment.counts["astray"] > 5
+    settle_day(deployment)
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_an_outage_and_a_restart_of_all_while_chunks_are_moved(seed):
-    world = begin_day(630 + seed)
-    lower(world, 3.0)
-    world.clock.later(seconds(4), world.outage, seconds(3))
+    deployment = begin_day(630 + seed)
+    lower(deployment, 3.0)
+    deployment.clock.later(seconds(4), deployment.outage, seconds(3))
     for index in range(3):
-        world.clock.later(seconds(3.5 + index / 2), world.restart, index, seconds(1 + index / 2))
-    world.run(seconds(30))
-    settle_day(world)
+        deployment.clock.later(seconds(3.5 + index / 2), deployment.restart, index, seconds(1 + index / 2))
+    deployment.run(seconds(30))
+    settle_day(deployment)
 
 
 @settings(max_examples=8)
 @given(st.integers(0, 1 << 30), FAULTS, st.floats(0.1, 15))
 def test_limits_that_fall_whatever_else_fails(seed, faults, after):
-    world = begin_day(seed)
-    lower(world, after)
+    deployment = begin_day(seed)
+    lower(deployment, after)
     for kind, at, length, hold, pick in faults:
-        world.clock.later(seconds(at), do, world, kind, length, hold, pick)
-    world.run(seconds(24))
-    settle_day(world)
+        deployment.clock.later(seconds(at), do, deployment, kind, length, hold, pick)
+    deployment.run(seconds(24))
+    settle_day(deployment)
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_job_of_production_is_cancelled_while_its_chunk_is_moved(seed):
-    world = begin_day(640 + seed)
-    lower(world, 3.0)
-    world.clock.later(seconds(3.3 + seed / 3), world.abort, LARGE_ARRAY)
-    world.run(seconds(30))
-    settle_day(world)
-    assert world.told[LARGE_ARRAY] == "aborted"
+    deployment = begin_day(640 + seed)
+    lower(deployment, 3.0)
+    deployment.clock.later(seconds(3.3 + seed / 3), deployment.abort, LARGE_ARRAY)
+    deployment.run(seconds(30))
+    settle_day(deployment)
+    assert deployment.told[LARGE_ARRAY] == "aborted"
 
 
 def test_the_leader_keeps_its_lease_at_the_new_rates():
     """Refusals for the rate may not starve the renewal of the lease."""
-    world = begin_day(650)
-    lower(world, 3.0)
-    world.run(seconds(4))
-    leaders = world.counts["leaders"]
-    world.run(seconds(30))
-    assert world.counts["leaders"] == leaders
-    settle_day(world)
+    deployment = begin_day(650)
+    lower(deployment, 3.0)
+    deployment.run(seconds(4))
+    leaders = deployment.counts["leaders"]
+    deployment.run(seconds(30))
+    assert deployment.counts["leaders"] == leaders
+    settle_day(deployment)
 
 
 def test_new_values_keep_to_the_next_limits_from_the_start():
     """Nothing new is written over them even before they hold."""
-    world = begin_day(660)
-    before = set(world.state.keys)
+    deployment = begin_day(660)
+    before = set(deployment.state.keys)
     largest = []
-    write = world.state._write
+    write = deployment.state._write
 
     def note(writes):
         largest.extend(len(encode(one["v"])) for one in writes if "set" in one and one["set"] not in before)
         write(writes)
 
-    world.state._write = note
-    world.watch(world.submit(720, threads=120, vcpus=1.0, mem_gb=0.1, run_s=3.0))
-    world.run(seconds(25))
+    deployment.state._write = note
+    deployment.watch(deployment.submit(720, threads=120, vcpus=1.0, mem_gb=0.1, run_s=3.0))
+    deployment.run(seconds(25))
     assert max(largest) <= NEXT["value_kb"] * 1024
-    settle_day(world)
+    settle_day(deployment)
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_production_can_read_all_until_the_limits_fall(seed):
     """A process that dies before its turn comes back old, while the next limits are announced already."""
-    world = begin_day(680 + seed)
-    world.change_leaders(3, seconds(12))
+    deployment = begin_day(680 + seed)
+    deployment.change_leaders(3, seconds(12))
     for _ in range(30):
-        world.run(seconds(0.5))
-        for key, (value, _, _) in world.state.keys.items():
+        deployment.run(seconds(0.5))
+        for key, (value, _, _) in deployment.state.keys.items():
             assert not key.startswith(PARTS), key
             if key.startswith((JOBS, TASKS, HISTORY, VOUCHED)):
                 decode_record(key, encode(value))
             if key.startswith(TASKS):
-                assert_speaks_for_its_tasks(world, key, value)
-    settle_day(world)
+                assert_speaks_for_its_tasks(deployment, key, value)
+    settle_day(deployment)
 
 
-def assert_speaks_for_its_tasks(world, key, value):
+def assert_speaks_for_its_tasks(deployment, key, value):
     """Production goes by the record's chunk size to find a task's chunk."""
     job, number = split_chunk_key(key)
-    size = world.state.keys[JOBS + job][0]["chunk"]
+    size = deployment.state.keys[JOBS + job][0]["chunk"]
     chunk = decode_record(key, encode(value))
     ends = [task for run in chunk.done for task in run]
     assert all(task // size == number for task in [*chunk.placed, *chunk.tried, *ends]), key
@@ -179,15 +182,15 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_a_long_list_of_dependencies_fits_the_next_limits(seed):
     """Needs dependencies as well."""
-    world = begin_day(670 + seed)
-    lower(world, 12.0)
-    world.run(seconds(2))
-    first = [world.submit(800 + number, mem_gb=0.1, threads=1, run_s=0.5) for number in range(150)]
+    deployment = begin_day(670 + seed)
+    lower(deployment, 12.0)
+    deployment.run(seconds(2))
+    first = [deployment.submit(800 + number, mem_gb=0.1, threads=1, run_s=0.5) for number in range(150)]
     for job in first:
-        world.watch(job)
-    while not world.accepted >= set(first) and world.clock.now() < seconds(90):
-        world.run(seconds(0.5))
+        deployment.watch(job)
+    while not deployment.accepted >= set(first) and deployment.clock.now() < seconds(90):
+        deployment.run(seconds(0.5))
     for number in (2000, 2001):
-        world.watch(world.submit(number, mem_gb=0.1, threads=1, awaits=first, crew="blue"))
-        world.run(seconds(10))
-    settle_day(world)
+        deployment.watch(deployment.submit(number, mem_gb=0.1, threads=1, awaits=first, crew="blue"))
+        deployment.run(seconds(10))
+    settle_day(deployment)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -12,10 +12,10 @@
 from spindleglade.runtime.clock import seconds
 from spindleglade.store.client import NotAppliedError, StateClient
 from spindleglade.workers.cluster_state import ClusterState
-from tests.deployment import Deployment
+from tests.deployment_config import DeploymentConfig
 from tests.faults import FAULTS, do
-from tests.liveness import LEADS_WITHIN, STARTS_WITHIN
-from tests.world import World
+from tests.invariants.liveness_invariants import LEADS_WITHIN, STARTS_WITHIN
+from tests.simulated_deployment import SimulatedDeployment
 
 # Machines that the cloud has: none, one, few and tens.
 FLEET_SIZES = (0, 1, 3, 12, 30)
@@ -59,20 +59,20 @@
     """The recorder and the fleet's loops used to end for good, under a leader that kept its lease."""
     owner, name = LOOPS[loop]
     monkeypatch.setattr(owner, name, breaks_once(getattr(owner, name), calls_before))
-    world = World(31)
-    world.expected_errors = ("",)
-    world.run(seconds(5))
-    jobs = [world.submit(number, threads=2, run_s=2.0) for number in range(3)]
+    deployment = SimulatedDeployment(31)
+    deployment.expected_errors = ("",)
+    deployment.run(seconds(5))
+    jobs = [deployment.submit(number, threads=2, run_s=2.0) for number in range(3)]
     for job in jobs:
-        world.watch(job)
-    world.run(seconds(40))
-    assert {world.told[job] for job in jobs} == {"done"}
+        deployment.watch(job)
+    deployment.run(seconds(40))
+    assert {deployment.told[job] for job in jobs} == {"done"}
     # And what comes later is served as well, by machines that have to be rented anew.
-    world.run(seconds(30))
-    late = world.submit(9, threads=2, run_s=2.0)
-    world.watch(late)
-    world.run(seconds(40))
-    assert world.told[late] == "done"
+    deployment.run(seconds(30))
+    late = deployment.submit(9, threads=2, run_s=2.0)
+    deployment.watch(late)
+    deployment.run(seconds(40))
+    assert deployment.told[late] == "done"
 
 
 GUARANTEED = {"name": "red", "cpus": 8.0, "cpus_max": 24.0}
@@ -83,14 +83,14 @@
 def test_work_starts_though_no_spot_machine_is_to_be_had(team):
     """Ordinary machines were there, but were rented only after ten minutes, longer than a day lasts, and for
     a guest's work never."""
-    world = World(32, deployment=Deployment(teams=(team,)))
-    world.cloud.no_spot = True
-    world.run(seconds(2))
-    job = world.submit(1, threads=2, run_s=2.0, windfall=True, urgency="normal")
-    world.watch(job)
-    world.run(STARTS_WITHIN)
-    assert world.cloud.refused
-    assert world.told[job] == "done"
+    deployment = SimulatedDeployment(32, config=DeploymentConfig(teams=(team,)))
+    deployment.cloud.no_spot = True
+    deployment.run(seconds(2))
+    job = deployment.submit(1, threads=2, run_s=2.0, windfall=True, urgency="normal")
+    deployment.watch(job)
+    deployment.run(STARTS_WITHIN)
+    assert deployment.cloud.refused
+    assert deployment.told[job] == "done"
 
 
 @settings(max_examples=60, phases=[Phase.explicit, Phase.generate])
@@ -104,22 +104,24 @@
 def test_faults_in_the_first_seconds_leave_a_service_that_starts_work(seed, size, faults, starts, no_spot):
     """Controllers begin in any order, some late, as faults strike; `LivenessRules` must hold after them."""
 
-    def begin(world: World) -> None:
+    def begin(deployment: SimulatedDeployment) -> None:
         for index, at in enumerate(starts):
-            world.clock.later(seconds(at), world.start_once, index)
+            deployment.clock.later(seconds(at), deployment.start_once, index)
 
-    world = World(seed, deployment=Deployment(capacity=size), begin=begin)
-    world.cloud.no_spot = no_spot
+    deployment = SimulatedDeployment(seed, config=DeploymentConfig(capacity=size), begin=begin)
+    deployment.cloud.no_spot = no_spot
     latest = max(at for _, at, _, _, _ in faults)
     for kind, at, length, hold, pick in faults:
-        world.clock.later(seconds(at * FIRST_FAULTS_S / latest), do, world, kind, length, hold, pick)
+        deployment.clock.later(
+            seconds(at * FIRST_FAULTS_S / latest), do, deployment, kind, length, hold, pick
+        )
     for number in range(3):
-        world.clock.later(seconds(2.0 * number), world.submit, number)
-    world.run(seconds(FIRST_FAULTS_S + 1))
-    world.run(max(world.calm - world.clock.now(), seconds(0)) + LEADS_WITHIN + STARTS_WITHIN)
-    assert world.accepted or world.asked_abort
-    if size and not world.asked_abort:
-        assert world.started
+        deployment.clock.later(seconds(2.0 * number), deployment.submit, number)
+    deployment.run(seconds(FIRST_FAULTS_S + 1))
+    deployment.run(max(deployment.calm - deployment.clock.now(), seconds(0)) + LEADS_WITHIN + STARTS_WITHIN)
+    assert deployment.accepted or deployment.asked_abort
+    if size and not deployment.asked_abort:
+        assert deployment.started
 
 
 @pytest.mark.parametrize("loop", ["recorder", "renting", "list of machines", "planning"])
@@ -127,10 +129,10 @@
     """What breaks in one process need not break in the next."""
     owner, name = LOOPS[loop]
     method = getattr(owner, name)
-    world = World(34)
-    world.expected_errors = ("loop broke",)
-    world.run(seconds(5))
-    stuck = world.nodes[world.node_names[world.leader()]].leader
+    deployment = SimulatedDeployment(34)
+    deployment.expected_errors = ("loop broke",)
+    deployment.run(seconds(5))
+    stuck = deployment.nodes[deployment.node_names[deployment.leader()]].leader
 
     def breaks_here(self, *args, **kwargs):
         if self is stuck.cluster or self is stuck._autoscaler:
@@ -138,19 +140,19 @@
         return method(self, *args, **kwargs)
 
     monkeypatch.setattr(owner, name, breaks_here)
-    job = world.submit(1, threads=2, run_s=2.0)
-    world.watch(job)
-    world.run(seconds(60))
-    assert world.told[job] == "done"
+    job = deployment.submit(1, threads=2, run_s=2.0)
+    deployment.watch(job)
+    deployment.run(seconds(60))
+    assert deployment.told[job] == "done"
 
 
 def test_where_each_leader_breaks_leadership_does_not_go_round_in_circles(monkeypatch):
     """Each of the three makes way once, then after 60 s, 120 s and 240 s more."""
     monkeypatch.setattr(ClusterState, "snapshot", breaks_always)
-    world = World(35)
-    world.expected_errors = ("loop broke",)
-    world.run(seconds(400))
-    assert 3 < world.counts["leaders"] <= 1 + 3 * 4
+    deployment = SimulatedDeployment(35)
+    deployment.expected_errors = ("loop broke",)
+    deployment.run(seconds(400))
+    assert 3 < deployment.counts["leaders"] <= 1 + 3 * 4
 
 
 def breaks_always(*args: Any) -> Any:
@@ -160,10 +162,10 @@
 
 def test_the_log_says_why_nothing_starts_but_not_all_the_time(caplog):
     caplog.set_level("INFO", "spindleglade.leadership")
-    world = World(36, deployment=Deployment(capacity=0))
-    world.run(seconds(2))
-    world.submit(1, threads=2)
-    world.run(seconds(30))
+    deployment = SimulatedDeployment(36, config=DeploymentConfig(capacity=0))
+    deployment.run(seconds(2))
+    deployment.submit(1, threads=2)
+    deployment.run(seconds(30))
     lines = [record.getMessage() for record in caplog.records if "nothing started" in record.getMessage()]
     assert 4 <= len(lines) <= 6
     assert "waiting=[no room: 1] machines_usable=0 machines_unusable=[]" in lines[0]
@@ -172,12 +174,12 @@
 
 def test_a_leader_that_cannot_read_the_records_makes_way(monkeypatch):
     """It kept its lease and read in vain, and no sibling could lead."""
-    world = World(37)
+    deployment = SimulatedDeployment(37)
     read_all = StateClient.read_all
     first = []
 
     async def fails_for_the_first(self, prefix):
-        leading = [node for node in world.nodes.values() if node.leader is not None]
+        leading = [node for node in deployment.nodes.values() if node.leader is not None]
         if leading and not first:
             first.append(leading[0].client)
         if first and self is first[0]:
@@ -185,8 +187,8 @@
         return await read_all(self, prefix)
 
     monkeypatch.setattr(StateClient, "read_all", fails_for_the_first)
-    world.expected_errors = ("",)
-    world.trouble(seconds(45))
-    world.run(seconds(60))
-    assert first and world.leader() is not None
-    assert world.nodes[world.node_names[world.leader()]].client is not first[0]
+    deployment.expected_errors = ("",)
+    deployment.trouble(seconds(45))
+    deployment.run(seconds(60))
+    assert first and deployment.leader() is not None
+    assert deployment.nodes[deployment.node_names[deployment.leader()]].client is not first[0]
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,5 +1,5 @@
-"""Pipelines of jobs among real nodes: World.run checks the rules of chained jobs at every moment, `settle`
-that at the end all is served."""
+"""Pipelines of jobs among real nodes: SimulatedDeployment.run checks the rules of chained jobs at every
+moment, `settle` that at the end all is served."""
 
 import msgspec
 import pytest
@@ -8,43 +8,43 @@
 
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import seconds
-from tests.deployment import CANCEL, Deployment
+from tests.deployment_config import CANCEL, DeploymentConfig
+from tests.fakes.encoding import encode
 from tests.faults import FAULTS, do
+from tests.invariants.dependency_invariants import OVER
 from tests.pipelines import Pipelines, chain, diamond, fan_in, fan_out
 from tests.recorded_day import answers_everywhere
-from tests.rules import OVER
-from tests.standins import encode
+from tests.simulated_deployment import SimulatedDeployment
 from tests.waiting import run_until
-from tests.world import World
 
 TEAMS = tuple({"name": name, "cpus": 40.0, "cpus_max": 80.0} for name in ("red", "blue"))
-ROOMY = Deployment(capacity=8, teams=TEAMS)
+ROOMY = DeploymentConfig(capacity=8, teams=TEAMS)
 LONG = {"threads": 1, "vcpus": 1.0, "run_s": 8.0}
 
 
 def ready(seed, **named):
-    """A world whose nodes have elected a leader, and its pipelines."""
-    world = World(seed, deployment=ROOMY, **named)
-    world.run(seconds(3))
-    return world, Pipelines(world)
+    """A deployment whose nodes have elected a leader, and its pipelines."""
+    deployment = SimulatedDeployment(seed, config=ROOMY, **named)
+    deployment.run(seconds(3))
+    return deployment, Pipelines(deployment)
 
 
-def stages_of(world, jobs):
+def stages_of(deployment, jobs):
     """What all nodes say of each job: they must agree."""
     got = {}
-    for (_, job), (status, body) in answers_everywhere(world, jobs).items():
+    for (_, job), (status, body) in answers_everywhere(deployment, jobs).items():
         assert status == 200, (job, status)
         assert got.setdefault(job, body["stage"]) == body["stage"], job
     return [got[job] for job in jobs]
 
 
-def post(world, body, node):
+def post(deployment, body, node):
     """The status of a submission sent once to one node, straight."""
     got = []
-    world.ask(
+    deployment.ask(
         "POST", "/submissions", encode(body), lambda status, answer: got.append((status, answer)), 0, node
     )
-    world.run(seconds(3))
+    deployment.run(seconds(3))
     return got[0] if got else None
 
 
@@ -53,38 +53,38 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_pipelines_in_calm(seed):
-    world, pipelines = ready(300 + seed)
+    deployment, pipelines = ready(300 + seed)
     pipelines.stream(10, seconds(1.5))
-    world.run(seconds(16))
+    deployment.run(seconds(16))
     pipelines.settle()
-    assert set(world.told.values()) == {"done"}
-    assert any(world.dependencies.ancestors(job) for job in world.jobs)
+    assert set(deployment.told.values()) == {"done"}
+    assert any(deployment.dependencies.ancestors(job) for job in deployment.jobs)
 
 
 @pytest.mark.parametrize(
     "shape", [chain(4), diamond(), fan_out(4), fan_in(4)], ids=["chain", "diamond", "out", "in"]
 )
 def test_a_job_is_pending_until_what_it_needs_is_done_and_then_starts(shape):
-    world, pipelines = ready(310)
+    deployment, pipelines = ready(310)
     pipeline = pipelines.begin(shape, **LONG)
-    run_until(world, lambda: pipeline.complete and world.started)
-    dependents = [job for job in pipeline.jobs if world.dependencies.ancestors(job)]
-    assert set(stages_of(world, dependents)) == {"pending"}
+    run_until(deployment, lambda: pipeline.complete and deployment.started)
+    dependents = [job for job in pipeline.jobs if deployment.dependencies.ancestors(job)]
+    assert set(stages_of(deployment, dependents)) == {"pending"}
     pipelines.settle()
     for job in dependents:
-        ends = max(world.began[one] for one in world.dependencies.ancestors(job))
-        assert world.began[job] > ends
+        ends = max(deployment.began[one] for one in deployment.dependencies.ancestors(job))
+        assert deployment.began[job] > ends
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_pipelines_with_failing_tasks_lost_machines_and_whatever(seed):
-    world, pipelines = ready(320 + seed, error=0.05)
+    deployment, pipelines = ready(320 + seed, error=0.05)
     pipelines.stream(8, seconds(1.5))
     pipelines.cancel_some(0.1, seconds(6))
-    world.clock.later(seconds(5), world.during, seconds(6), "lose", 0.1)
-    world.clock.later(seconds(7), lambda: world.kill_machine(min(world.workers)))
-    world.clock.later(seconds(8), world.during, seconds(8), "cancel_at_end", 0.3)
-    world.run(seconds(20))
+    deployment.clock.later(seconds(5), deployment.during, seconds(6), "lose", 0.1)
+    deployment.clock.later(seconds(7), lambda: deployment.kill_machine(min(deployment.workers)))
+    deployment.clock.later(seconds(8), deployment.during, seconds(8), "cancel_at_end", 0.3)
+    deployment.run(seconds(20))
     pipelines.settle()
 
 
@@ -94,157 +94,164 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("shape", [chain(4), diamond(), fan_out(4)], ids=["chain", "diamond", "out"])
 def test_cancelling_a_running_job_aborts_all_after_it(seed, shape):
-    world, pipelines = ready(330 + seed)
+    deployment, pipelines = ready(330 + seed)
     pipeline = pipelines.begin(shape, **LONG)
-    run_until(world, lambda: pipeline.complete and world.machines_of(pipeline.job(0)))
-    world.abort(pipeline.job(0))
-    run_until(world, lambda: pipeline.job(0) in world.aborted_at, 5)
-    assert set(stages_of(world, pipeline.jobs)) == {"aborted"}
-    world.run(CANCEL + seconds(5))
-    assert not any(world.machines_of(job) for job in pipeline.jobs)
-    assert {job for job in pipeline.jobs if job in world.began} == {pipeline.job(0)}
+    run_until(deployment, lambda: pipeline.complete and deployment.machines_of(pipeline.job(0)))
+    deployment.abort(pipeline.job(0))
+    run_until(deployment, lambda: pipeline.job(0) in deployment.aborted_at, 5)
+    assert set(stages_of(deployment, pipeline.jobs)) == {"aborted"}
+    deployment.run(CANCEL + seconds(5))
+    assert not any(deployment.machines_of(job) for job in pipeline.jobs)
+    assert {job for job in pipeline.jobs if job in deployment.began} == {pipeline.job(0)}
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_cancelling_in_the_middle_leaves_what_came_before(seed):
-    world, pipelines = ready(340 + seed)
+    deployment, pipelines = ready(340 + seed)
     pipeline = pipelines.begin(chain(4), **LONG)
-    run_until(world, lambda: pipeline.complete)
-    world.abort(pipeline.job(2))
+    run_until(deployment, lambda: pipeline.complete)
+    deployment.abort(pipeline.job(2))
     pipelines.settle()
-    assert [world.told[job] for job in pipeline.jobs] == ["done", "done", "aborted", "aborted"]
+    assert [deployment.told[job] for job in pipeline.jobs] == ["done", "done", "aborted", "aborted"]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_cancelling_while_the_pipeline_is_being_submitted(seed):
     """A job that names a cancelled one is accepted all the same, and aborted."""
-    world, pipelines = ready(350 + seed)
-    world.when_accepted.append(lambda job: world.abort(job) if job.endswith(("000", "004", "008")) else None)
+    deployment, pipelines = ready(350 + seed)
+    deployment.when_accepted.append(
+        lambda job: deployment.abort(job) if job.endswith(("000", "004", "008")) else None
+    )
     for shape in (chain(4), diamond(late=True), fan_out(3)):
         pipelines.begin(shape, **LONG)
     pipelines.settle()
-    assert len(world.accepted) == 12 and set(world.told.values()) == {"aborted"}
-    assert not any(world.dependencies.ancestors(job) for job in world.began)
+    assert len(deployment.accepted) == 12 and set(deployment.told.values()) == {"aborted"}
+    assert not any(deployment.dependencies.ancestors(job) for job in deployment.began)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_cancelling_at_the_moment_of_an_end(seed):
     """Either the end is recorded first and the pipeline goes on, or all after it is aborted."""
-    world, pipelines = ready(360 + seed)
-    world.during(seconds(40), "cancel_at_end", 0.4)
+    deployment, pipelines = ready(360 + seed)
+    deployment.during(seconds(40), "cancel_at_end", 0.4)
     pipelines.stream(10, seconds(1))
-    world.run(seconds(30))
+    deployment.run(seconds(30))
     pipelines.settle()
-    assert world.counts["cancelled at its end"] > 2
+    assert deployment.counts["cancelled at its end"] > 2
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_cancellation_answered_with_done_lets_the_others_go_on(seed):
-    world, pipelines = ready(370 + seed)
+    deployment, pipelines = ready(370 + seed)
     pipeline = pipelines.begin(chain(3), **(LONG | {"run_s": 3.0}))
-    run_until(world, lambda: world.told.get(pipeline.job(0)) == "done")
-    world.abort(pipeline.job(0))
-    world.run(seconds(2))
+    run_until(deployment, lambda: deployment.told.get(pipeline.job(0)) == "done")
+    deployment.abort(pipeline.job(0))
+    deployment.run(seconds(2))
     pipelines.settle()
-    assert [world.told[job] for job in pipeline.jobs] == ["done"] * 3
+    assert [deployment.told[job] for job in pipeline.jobs] == ["done"] * 3
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_cancelling_a_job_that_is_aborted_by_another_answers_aborted(seed):
-    world, pipelines = ready(380 + seed)
+    deployment, pipelines = ready(380 + seed)
     pipeline = pipelines.begin(chain(3), **LONG)
-    run_until(world, lambda: pipeline.complete)
-    world.abort(pipeline.job(0))
-    run_until(world, lambda: pipeline.job(0) in world.aborted_at, 5)
-    for node in world.node_names:
-        world.abort(pipeline.job(2), 0, node)
-    world.run(seconds(3))
-    assert world.told[pipeline.job(2)] == "aborted" and pipeline.job(2) in world.aborted_at
+    run_until(deployment, lambda: pipeline.complete)
+    deployment.abort(pipeline.job(0))
+    run_until(deployment, lambda: pipeline.job(0) in deployment.aborted_at, 5)
+    for node in deployment.node_names:
+        deployment.abort(pipeline.job(2), 0, node)
+    deployment.run(seconds(3))
+    assert deployment.told[pipeline.job(2)] == "aborted" and pipeline.job(2) in deployment.aborted_at
     # A repeat of its submission is answered by its state as well.
-    status, body = post(world, world.jobs[pipeline.job(2)], world.node_names[0])
+    status, body = post(deployment, deployment.jobs[pipeline.job(2)], deployment.node_names[0])
     assert (status, msgspec.json.decode(body)["stage"]) == (200, "aborted")
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_all_after_a_job_cancelled_through_another_node_know_it_there(seed):
     """Cancelled at one node, asked for within milliseconds at all others."""
-    world, pipelines = ready(390 + seed)
-    world.during(seconds(30), "close_looks", True)
+    deployment, pipelines = ready(390 + seed)
+    deployment.during(seconds(30), "close_looks", True)
     shapes = [pipelines.begin(shape, **LONG) for shape in (chain(4), diamond(), fan_out(4))]
-    run_until(world, lambda: all(pipeline.complete for pipeline in shapes))
+    run_until(deployment, lambda: all(pipeline.complete for pipeline in shapes))
     for number, pipeline in enumerate(shapes):
-        world.abort(pipeline.job(0), 40, world.node_names[number % 3])
-    run_until(world, lambda: all(pipeline.job(0) in world.aborted_at for pipeline in shapes), 5)
+        deployment.abort(pipeline.job(0), 40, deployment.node_names[number % 3])
+    run_until(deployment, lambda: all(pipeline.job(0) in deployment.aborted_at for pipeline in shapes), 5)
     for pipeline in shapes:
         for job in pipeline.jobs:
-            for node in world.node_names:
-                world.poll(job, node)
-    world.run(seconds(1))
-    assert {world.told[job] for pipeline in shapes for job in pipeline.jobs} == {"aborted"}
+            for node in deployment.node_names:
+                deployment.poll(job, node)
+    deployment.run(seconds(1))
+    assert {deployment.told[job] for pipeline in shapes for job in pipeline.jobs} == {"aborted"}
     pipelines.settle()
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("hold", [False, True], ids=["lost", "held"])
 def test_cancellations_while_the_leader_is_cut_off(seed, hold):
-    world, pipelines = ready(400 + seed)
+    deployment, pipelines = ready(400 + seed)
     pipelines.stream(8, seconds(1))
     pipelines.cancel_some(0.3, seconds(8))
-    world.clock.later(
-        seconds(4), lambda: world.cut_off(world.node_names[world.leader() or 0], hold, seconds(8))
+    deployment.clock.later(
+        seconds(4),
+        lambda: deployment.cut_off(deployment.node_names[deployment.leader() or 0], hold, seconds(8)),
+    )
+    deployment.clock.later(
+        seconds(14), lambda: deployment.isolate(deployment.leader() or 0, hold, seconds(5))
     )
-    world.clock.later(seconds(14), lambda: world.isolate(world.leader() or 0, hold, seconds(5)))
-    world.run(seconds(22))
+    deployment.run(seconds(22))
     pipelines.settle()
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_cancellations_before_and_in_an_outage_of_the_store(seed):
-    world, pipelines = ready(410 + seed)
+    deployment, pipelines = ready(410 + seed)
     pipelines.stream(8, seconds(0.7))
     pipelines.cancel_some(0.4, seconds(9))
-    world.clock.later(seconds(4), world.outage, seconds(6))
-    world.clock.later(seconds(13), world.gap, seconds(4), seconds(8))
-    world.run(seconds(24))
+    deployment.clock.later(seconds(4), deployment.outage, seconds(6))
+    deployment.clock.later(seconds(13), deployment.gap, seconds(4), seconds(8))
+    deployment.run(seconds(24))
     pipelines.settle()
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_cancellations_while_leaders_change(seed):
-    world, pipelines = ready(420 + seed)
+    deployment, pipelines = ready(420 + seed)
     pipelines.stream(10, seconds(1.2))
     pipelines.cancel_some(0.3, seconds(6))
-    world.during(seconds(16), "cancel_at_end", 0.2)
-    world.change_leaders(5, seconds(15))
-    world.run(seconds(20))
-    assert world.counts["leaders"] > 3
+    deployment.during(seconds(16), "cancel_at_end", 0.2)
+    deployment.change_leaders(5, seconds(15))
+    deployment.run(seconds(20))
+    assert deployment.counts["leaders"] > 3
     pipelines.settle()
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
 def test_pipelines_with_transactions_without_an_answer(seed, which):
-    world, pipelines = ready(430 + seed)
-    world.during(seconds(18), which, 0.3)
+    deployment, pipelines = ready(430 + seed)
+    deployment.during(seconds(18), which, 0.3)
     pipelines.stream(10, seconds(1.2))
     pipelines.cancel_some(0.2, seconds(6))
-    world.clock.later(seconds(6), lambda: world.leader() is None or world.restart(world.leader(), seconds(1)))
-    world.run(seconds(20))
-    assert world.counts["astray"] > 2
+    deployment.clock.later(
+        seconds(6), lambda: deployment.leader() is None or deployment.restart(deployment.leader(), seconds(1))
+    )
+    deployment.run(seconds(20))
+    assert deployment.counts["astray"] > 2
     pipelines.settle()
 
 
 @settings(max_examples=15)
 @given(st.integers(0, 1 << 30), FAULTS, st.sampled_from([0.0, 0.05]), st.sampled_from([0.0, 0.15, 0.4]))
 def test_no_rule_of_pipelines_is_broken_whatever_fails(seed, faults, error, cancelled):
-    world = World(seed, deployment=ROOMY, error=error)
-    pipelines = Pipelines(world)
+    deployment = SimulatedDeployment(seed, config=ROOMY, error=error)
+    pipelines = Pipelines(deployment)
     pipelines.cancel_some(cancelled, seconds(6))
     pipelines.stream(8, seconds(2.2))
     for kind, at, length, hold, pick in faults:
-        world.clock.later(seconds(at), do, world, kind, length, hold, pick)
-    # The latest trouble has begun by then; what they leave behind is told by the world.
-    world.run(seconds(24))
+        deployment.clock.later(seconds(at), do, deployment, kind, length, hold, pick)
+    # The latest trouble has begun by then; what they leave behind is told by the deployment.
+    deployment.run(seconds(24))
     pipelines.settle(seconds(150))
 
 
@@ -253,13 +260,13 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_pipelines_outlive_the_restart_of_all_controllers(seed):
-    world, pipelines = ready(440 + seed)
+    deployment, pipelines = ready(440 + seed)
     pipelines.stream(8, seconds(1))
     for index in range(3):
-        world.clock.later(seconds(6 + index), world.restart, index, seconds(2 + index))
-    world.run(seconds(14))
+        deployment.clock.later(seconds(6 + index), deployment.restart, index, seconds(2 + index))
+    deployment.run(seconds(14))
     pipelines.settle()
-    assert set(world.told.values()) == {"done"}
+    assert set(deployment.told.values()) == {"done"}
 
 
 # What is refused.
@@ -267,15 +274,15 @@
 
 @pytest.mark.parametrize("node", range(3))
 def test_a_job_that_names_one_never_accepted_gets_422(node):
-    world, pipelines = ready(450)
+    deployment, pipelines = ready(450)
     pipeline = pipelines.begin(chain(1), **LONG)
-    run_until(world, lambda: pipeline.complete)
+    run_until(deployment, lambda: pipeline.complete)
     for number, awaits in enumerate((["job-999999"], [pipeline.job(0), "job-999999"], ["job-000500"])):
-        body = dict(world.jobs[pipeline.job(0)], ref=f"job-{500 + number:06d}", awaits=awaits)
-        status, _ = post(world, body, world.node_names[node])
+        body = dict(deployment.jobs[pipeline.job(0)], ref=f"job-{500 + number:06d}", awaits=awaits)
+        status, _ = post(deployment, body, deployment.node_names[node])
         assert status == 422, awaits
         # It was never accepted.
-        assert all(status == 404 for status, _ in answers_everywhere(world, [body["ref"]]).values())
+        assert all(status == 404 for status, _ in answers_everywhere(deployment, [body["ref"]]).values())
 
 
 @pytest.mark.parametrize(
@@ -296,80 +303,82 @@
     ids=str,
 )
 def test_what_is_no_list_of_job_ids_gets_400(awaits):
-    world, pipelines = ready(451)
+    deployment, pipelines = ready(451)
     pipeline = pipelines.begin(chain(1), **LONG)
-    run_until(world, lambda: pipeline.complete)
-    body = dict(world.jobs[pipeline.job(0)], ref="job-000500", awaits=awaits)
-    status, _ = post(world, body, world.node_names[0])
+    run_until(deployment, lambda: pipeline.complete)
+    body = dict(deployment.jobs[pipeline.job(0)], ref="job-000500", awaits=awaits)
+    status, _ = post(deployment, body, deployment.node_names[0])
     assert status == 400
     # A repeat of a known job is answered by its state, whatever it holds.
-    repeat = dict(world.jobs[pipeline.job(0)], awaits=awaits)
-    status, answer = post(world, repeat, world.node_names[0])
+    repeat = dict(deployment.jobs[pipeline.job(0)], awaits=awaits)
+    status, answer = post(deployment, repeat, deployment.node_names[0])
     assert status == 200 and msgspec.json.decode(answer)["stage"] in ("pending", "running")
 
 
 @pytest.mark.parametrize("awaits", [None, []], ids=["null", "empty"])
 def test_null_and_empty_are_none(awaits):
-    world, pipelines = ready(452)
-    job = world.submit(500, awaits=awaits, **LONG)
-    world.watch(job)
+    deployment, pipelines = ready(452)
+    job = deployment.submit(500, awaits=awaits, **LONG)
+    deployment.watch(job)
     pipelines.settle()
-    assert world.told[job] == "done"
+    assert deployment.told[job] == "done"
 
 
 def test_duplicates_count_once():
-    world, pipelines = ready(453)
+    deployment, pipelines = ready(453)
     pipeline = pipelines.begin(chain(1), **LONG)
-    run_until(world, lambda: pipeline.complete)
-    job = world.submit(500, awaits=[pipeline.job(0)] * 30, **LONG)
-    world.watch(job)
+    run_until(deployment, lambda: pipeline.complete)
+    job = deployment.submit(500, awaits=[pipeline.job(0)] * 30, **LONG)
+    deployment.watch(job)
     pipelines.settle()
-    assert world.told[job] == "done"
+    assert deployment.told[job] == "done"
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_node_that_is_behind_never_answers_422_for_an_accepted_job(seed):
     """The store refuses it, or answers slowly, while others accept jobs; it may only say 503."""
-    world, pipelines = ready(460 + seed)
-    behind = world.node_names[seed % 3]
+    deployment, pipelines = ready(460 + seed)
+    behind = deployment.node_names[seed % 3]
     statuses = []
 
     def name_it(job):
-        body = dict(world.jobs[job], ref=f"job-{800_000 + len(world.accepted):06d}", awaits=[job])
-        world.jobs[body["ref"]] = body
-        world.sent[body["ref"]] = world.clock.now()
-        world.watch(body["ref"])
-        world.repeat(body["ref"], 40, behind)
+        body = dict(deployment.jobs[job], ref=f"job-{800_000 + len(deployment.accepted):06d}", awaits=[job])
+        deployment.jobs[body["ref"]] = body
+        deployment.sent[body["ref"]] = deployment.clock.now()
+        deployment.watch(body["ref"])
+        deployment.repeat(body["ref"], 40, behind)
         statuses.append(body["ref"])
 
-    world.when_accepted.append(lambda job: name_it(job) if job < "job-8" else None)
-    world.during(seconds(20), "slow_store", seconds(0.8))
+    deployment.when_accepted.append(lambda job: name_it(job) if job < "job-8" else None)
+    deployment.during(seconds(20), "slow_store", seconds(0.8))
     for at in (1, 5, 9):
-        world.clock.later(seconds(at), world.refuse, seed % 3, seconds(2))
+        deployment.clock.later(seconds(at), deployment.refuse, seed % 3, seconds(2))
     for number in range(12):
-        world.clock.later(seconds(number), lambda n=number: world.watch(world.submit(n, run_s=1.0)))
-    world.run(seconds(22))
-    # World.repeat takes a 422 for a breach.
-    assert len(statuses) >= 10 and world.counts["submission 422"] == 0
+        deployment.clock.later(
+            seconds(number), lambda n=number: deployment.watch(deployment.submit(n, run_s=1.0))
+        )
+    deployment.run(seconds(22))
+    # SimulatedDeployment.repeat takes a 422 for a breach.
+    assert len(statuses) >= 10 and deployment.counts["submission 422"] == 0
     pipelines.settle()
 
 
 def test_a_node_that_cannot_confirm_answers_503_for_an_unknown_dependency():
-    world, pipelines = ready(465)
+    deployment, pipelines = ready(465)
     pipeline = pipelines.begin(chain(1), **(LONG | {"run_s": 60.0}))
-    run_until(world, lambda: pipeline.complete)
-    world.outage(seconds(6))
-    world.run(seconds(2))
+    run_until(deployment, lambda: pipeline.complete)
+    deployment.outage(seconds(6))
+    deployment.run(seconds(2))
     statuses = []
 
     async def ask(name, body):
-        answer = await world.nodes[name].handle("POST", "/submissions", encode(body))
+        answer = await deployment.nodes[name].handle("POST", "/submissions", encode(body))
         statuses.append((answer.status, answer.retry_after))
 
-    for number, name in enumerate(world.node_names):
-        body = dict(world.jobs[pipeline.job(0)], ref=f"job-{500 + number:06d}", awaits=["job-999999"])
+    for number, name in enumerate(deployment.node_names):
+        body = dict(deployment.jobs[pipeline.job(0)], ref=f"job-{500 + number:06d}", awaits=["job-999999"])
         run_in_background(ask(name, body), "asking")
-    world.run(seconds(3))
+    deployment.run(seconds(3))
     assert len(statuses) == 3 and all(status == 503 and retry for status, retry in statuses)
 
 
@@ -380,29 +389,29 @@
 def test_a_long_list_of_dependencies(count):
     """A list as long as the body allows fits whatever limits hold, or is answered by a documented status;
     nothing breaks in the store, and the job starts after all of them."""
-    world, pipelines = ready(470)
-    needed = [world.submit(number, vcpus=1.0, threads=1, mem_gb=0.1, run_s=0.3) for number in range(200)]
-    run_until(world, lambda: world.accepted >= set(needed))
+    deployment, pipelines = ready(470)
+    needed = [deployment.submit(number, vcpus=1.0, threads=1, mem_gb=0.1, run_s=0.3) for number in range(200)]
+    run_until(deployment, lambda: deployment.accepted >= set(needed))
     # Ids of other forms name other jobs: the list is made long by duplicates, which count once.
     body = {"awaits": (needed * (count // len(needed)))[:count]} | LONG
-    job = world.submit(90_000, **body)
-    assert len(encode(world.jobs[job])) < 64 * 1024
-    world.watch(job)
+    job = deployment.submit(90_000, **body)
+    assert len(encode(deployment.jobs[job])) < 64 * 1024
+    deployment.watch(job)
     for one in needed:
-        world.watch(one)
+        deployment.watch(one)
     pipelines.settle()
-    assert world.told[job] == "done"
+    assert deployment.told[job] == "done"
 
 
 def test_one_job_with_many_dependents_is_cancelled():
-    world, pipelines = ready(471)
+    deployment, pipelines = ready(471)
     pipeline = pipelines.begin(fan_out(60), **LONG)
-    run_until(world, lambda: pipeline.complete and world.machines_of(pipeline.job(0)))
-    world.abort(pipeline.job(0))
-    run_until(world, lambda: pipeline.job(0) in world.aborted_at, 5)
-    changes = world.state.changes
+    run_until(deployment, lambda: pipeline.complete and deployment.machines_of(pipeline.job(0)))
+    deployment.abort(pipeline.job(0))
+    run_until(deployment, lambda: pipeline.job(0) in deployment.aborted_at, 5)
+    changes = deployment.state.changes
     pipelines.settle()
-    assert set(world.told[job] for job in pipeline.jobs) == {"aborted"}
+    assert set(deployment.told[job] for job in pipeline.jobs) == {"aborted"}
     # Nothing is written for those after it: the cancellation is derived.
-    assert world.state.changes - changes < 30
-    assert set(world.told.values()) <= set(OVER)
+    assert deployment.state.changes - changes < 30
+    assert set(deployment.told.values()) <= set(OVER)
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -9,7 +9,7 @@
 from spindleglade.runtime.clock import seconds
 from spindleglade.submissions import records
 from tests import production, versions
-from tests.deployment import description
+from tests.deployment_config import description
 from tests.production_writer import ProductionWriter
 from tests.recorded_day import (
     LARGE_ARRAY,
@@ -18,10 +18,10 @@
     answers_everywhere,
     read_messages,
     read_store,
-    recorded_world,
+    recorded_deployment,
 )
+from tests.simulated_deployment import SimulatedDeployment
 from tests.versions import has_history
-from tests.world import World
 
 STORE = read_store()
 MESSAGES = read_messages()
@@ -162,22 +162,22 @@
     assert_same_message(message, old)
 
 
-def leader_of(world):
+def leader_of(deployment):
     """Runs until a leader has read everything, and gives it."""
     for _ in range(400):
-        if world.leader() is not None:
-            return world.nodes[world.node_names[world.leader()]].leader
-        world.run(seconds(0.05))
+        if deployment.leader() is not None:
+            return deployment.nodes[deployment.node_names[deployment.leader()]].leader
+        deployment.run(seconds(0.05))
     raise AssertionError("nobody leads")
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_leader_takes_over_every_placement_attempt_number_and_done(seed):
-    world = recorded_world(seed, nodes=(1,))
+    deployment = recorded_deployment(seed, nodes=(1,))
     # Nothing of the machines comes through before the leader is looked at.
-    machines = [worker.machine.address for worker in world.workers.values()]
-    world.cut(world.node_names[1], machines, False, seconds(3))
-    jobs = leader_of(world).cluster.jobs
+    machines = [worker.machine.address for worker in deployment.workers.values()]
+    deployment.cut(deployment.node_names[1], machines, False, seconds(3))
+    jobs = leader_of(deployment).cluster.jobs
     open_jobs = recorded_jobs("open")
     for (job, number), chunk in recorded_chunks().items():
         assert job in jobs
@@ -201,22 +201,22 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_recorded_jobs_are_answered_by_every_node(seed):
-    world = recorded_world(seed, nodes=(0, 1, 2))
-    world.run(seconds(3))
+    deployment = recorded_deployment(seed, nodes=(0, 1, 2))
+    deployment.run(seconds(3))
     done, aborted = recorded_jobs("done"), recorded_jobs("aborted")
-    for (node, job), (status, body) in answers_everywhere(world, sorted(done | aborted)).items():
+    for (node, job), (status, body) in answers_everywhere(deployment, sorted(done | aborted)).items():
         assert (status, body["stage"]) == (200, "done" if job in done else "aborted"), (node, job)
         if job in done:
             assert body["done"] == done[job].spec.tasks
     open_jobs = recorded_jobs("open")
-    for at, (status, _) in answers_everywhere(world, sorted(open_jobs)).items():
+    for at, (status, _) in answers_everywhere(deployment, sorted(open_jobs)).items():
         assert status == 200, at
 
 
 # Production reads what the code as it stands writes, while the limits have not fallen.
 
 
-class NotingWorld(World):
+class NotingDeployment(SimulatedDeployment):
     """Keeps the sibling messages that were sent, as bytes, and the values that were written to each key."""
 
     def __init__(self, *args, **named):
@@ -236,18 +236,20 @@
 
 
 def day_of_this_version():
-    world = NotingWorld(5, error=0.1, deployment=RECORDED)
-    world.run(seconds(3))
+    deployment = NotingDeployment(5, error=0.1, config=RECORDED)
+    deployment.run(seconds(3))
     lasts = [1.0 + index % 20 for index in range(250)]
-    world.submit(1, threads=250, vcpus=1.0, mem_gb=0.1, run_s=lasts)
+    deployment.submit(1, threads=250, vcpus=1.0, mem_gb=0.1, run_s=lasts)
     for number in range(2, 12):
-        world.clock.later(seconds(number), lambda n=number: world.submit(n, crew="blue", mem_gb=0.1))
+        deployment.clock.later(
+            seconds(number), lambda n=number: deployment.submit(n, crew="blue", mem_gb=0.1)
+        )
         if number % 4 == 0:
-            world.clock.later(seconds(number + 1.5), world.abort, f"job-{number:06d}")
-    world.run(seconds(12))
-    world.refuse(((world.leader() or 0) + 1) % 3, seconds(4))
-    world.run(seconds(8))
-    return world
+            deployment.clock.later(seconds(number + 1.5), deployment.abort, f"job-{number:06d}")
+    deployment.run(seconds(12))
+    deployment.refuse(((deployment.leader() or 0) + 1) % 3, seconds(4))
+    deployment.run(seconds(8))
+    return deployment
 
 
 DAY = []
@@ -270,11 +272,11 @@
 
 
 def test_job_records_mean_the_same_to_production():
-    world = the_day()
-    for key, value in world.written:
+    deployment = the_day()
+    for key, value in deployment.written:
         if key.startswith(production.JOBS):
             record = production.decode_record(key, msgspec.json.encode(value))
-            job = world.jobs[record.spec.id]
+            job = deployment.jobs[record.spec.id]
             assert production.job_key(job["ref"]) == key
             told = msgspec.json.decode(msgspec.json.encode(record.spec))
             assert told == {name: value for name, value in job.items() if name in told}
@@ -282,17 +284,19 @@
 
 
 def test_chunks_stand_where_production_looks_for_them():
-    world = the_day()
-    for key, value in world.written:
+    deployment = the_day()
+    for key, value in deployment.written:
         if key.startswith(production.TASKS):
             job, number = production.split_chunk_key(key)
             assert production.chunk_key(job, number) == key and number == 0
             chunk = production.decode_record(key, msgspec.json.encode(value))
             tasks = set(chunk.placed) | set(chunk.tried) | {last for _, last in chunk.done}
-            assert all(0 <= task < world.jobs[job]["threads"] for task in tasks)
+            assert all(0 <= task < deployment.jobs[job]["threads"] for task in tasks)
             assert not set(chunk.placed) & set(chunk.tried)
             machines = {one.machine for one in chunk.placed.values()}
-            assert machines <= world.workers.keys() and all(one.attempt >= 1 for one in chunk.placed.values())
+            assert machines <= deployment.workers.keys() and all(
+                one.attempt >= 1 for one in chunk.placed.values()
+            )
 
 
 def test_sibling_messages_mean_the_same_to_production():
@@ -308,27 +312,29 @@
 @pytest.mark.parametrize("stage", ["done", "aborted"])
 def test_a_job_that_production_ended_is_over_at_every_node(stage):
     """Production drops the fields that it does not know when it ends a job."""
-    world = recorded_world(3, nodes=(0, 1, 2))
-    world.run(seconds(4))
-    body = production_job(world, 501)
+    deployment = recorded_deployment(3, nodes=(0, 1, 2))
+    deployment.run(seconds(4))
+    body = production_job(deployment, 501)
     key = production.job_key(body["ref"])
-    value, mark, lease = world.state.keys[key]
+    value, mark, lease = deployment.state.keys[key]
     # A later version's record may say more, in the record and in its description.
     more = value | {"later": [1], "spec": value["spec"] | {"awaits": ["job-000001"], "later": 1}}
-    world.state._write([{"set": key, "v": more}])
-    world.run(seconds(1))
-    world.asked_abort.add(body["ref"])
-    ProductionWriter(world).end_job(body["ref"], stage)
-    assert "later" not in world.state.keys[key][0] and "later" not in world.state.keys[key][0]["spec"]
-    world.run(seconds(1))
-    for at, (status, answer) in answers_everywhere(world, [body["ref"]]).items():
+    deployment.state._write([{"set": key, "v": more}])
+    deployment.run(seconds(1))
+    deployment.asked_abort.add(body["ref"])
+    ProductionWriter(deployment).end_job(body["ref"], stage)
+    assert (
+        "later" not in deployment.state.keys[key][0] and "later" not in deployment.state.keys[key][0]["spec"]
+    )
+    deployment.run(seconds(1))
+    for at, (status, answer) in answers_everywhere(deployment, [body["ref"]]).items():
         assert (status, answer["stage"]) == (200, stage), at
 
 
-def production_job(world, number):
+def production_job(deployment, number):
     """A job that production accepts; no task of it starts, as it asks for a zone that there is not."""
     body = description(f"job-{number:06d}", {"vcpus": 16.0, "mem_gb": 32.0, "threads": 1, "glade": "none"})
-    world.jobs[body["ref"]] = body
-    ProductionWriter(world).accept(body, 254, world.clock.utc())
-    world.run(seconds(1))
+    deployment.jobs[body["ref"]] = body
+    ProductionWriter(deployment).accept(body, 254, deployment.clock.utc())
+    deployment.run(seconds(1))
     return body
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -7,8 +7,9 @@
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import seconds
 from spindleglade.settings.operator import LeadershipSettings
-from tests.test_meetings import ROOMY, settle
-from tests.world import Deployment, World
+from tests.deployment_config import DeploymentConfig
+from tests.simulated_deployment import SimulatedDeployment
+from tests.test_combined_faults import ROOMY, settle
 
 SILENT = seconds(70)
 PING = seconds(LeadershipSettings().ping_s)
@@ -19,48 +20,50 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("leads", [True, False])
 def test_a_controller_is_silent_for_more_than_a_minute(seed, leads):
-    world = World(300 + seed, deployment=Deployment(capacity=8, teams=ROOMY))
-    world.run(seconds(4))
-    leader = world.leader()
+    deployment = SimulatedDeployment(300 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment.run(seconds(4))
+    leader = deployment.leader()
     silent = leader if leads else (leader + 1) % 3
-    long_ones = [world.submit(number, threads=2, run_s=100.0) for number in range(3)]
-    world.run(seconds(10))
-    began = world.clock.now()
-    world.silence_node(silent, SILENT)
+    long_ones = [deployment.submit(number, threads=2, run_s=100.0) for number in range(3)]
+    deployment.run(seconds(10))
+    began = deployment.clock.now()
+    deployment.silence_node(silent, SILENT)
     for number in range(120):
-        world.clock.later(seconds(number / 2), lambda n=number: world.watch(world.submit(100 + n, threads=2)))
-    world.run(seconds(40))
+        deployment.clock.later(
+            seconds(number / 2), lambda n=number: deployment.watch(deployment.submit(100 + n, threads=2))
+        )
+    deployment.run(seconds(40))
     # The others serve: whoever asked early enough has an answer, and its tasks have begun.
-    early = [job for job, at in world.sent.items() if began < at < world.clock.now() - seconds(20)]
-    assert len(early) >= 30 and all(job in world.accepted and job in world.began for job in early)
-    world.run(SILENT - seconds(40) - seconds(1))
+    early = [job for job, at in deployment.sent.items() if began < at < deployment.clock.now() - seconds(20)]
+    assert len(early) >= 30 and all(job in deployment.accepted and job in deployment.began for job in early)
+    deployment.run(SILENT - seconds(40) - seconds(1))
     # Once its silence is noticed it gets nothing but the pings of one connection after the other.
-    workers = sum(not worker.gone for worker in world.workers.values())
-    for (sender, kind), times in world.sent_to_silent.items():
+    workers = sum(not worker.gone for worker in deployment.workers.values())
+    for (sender, kind), times in deployment.sent_to_silent.items():
         late = [at for at in times if at > began + NOTICED]
         assert len(late) <= (SILENT / PING if kind is PeerHeartbeat else 0), (sender, kind, late)
         # Until then a node passes reports on as they come, and each worker has one under way.
         assert len(times) - len(late) <= workers * NOTICED.total_seconds() * 2
-    terms = {name: node.leader.term for name, node in world.nodes.items() if node.is_leader}
-    others = {name: term for name, term in terms.items() if name != world.node_names[silent]}
+    terms = {name: node.leader.term for name, node in deployment.nodes.items() if node.is_leader}
+    others = {name: term for name, term in terms.items() if name != deployment.node_names[silent]}
     assert len(others) == 1
-    world.run(seconds(10))
+    deployment.run(seconds(10))
     # Its return changes nothing by itself: the same one leads in the same term.
-    assert {name: node.leader.term for name, node in world.nodes.items() if node.is_leader} == others
-    settle(world, 120.0)
-    assert all(world.told[job] == "done" for job in long_ones)
+    assert {name: node.leader.term for name, node in deployment.nodes.items() if node.is_leader} == others
+    settle(deployment, 120.0)
+    assert all(deployment.told[job] == "done" for job in long_ones)
 
 
 def test_a_request_is_forwarded_to_the_sibling_last_heard_first():
     """One that has just fallen silent passes for up for two seconds more; each request that was forwarded to
     it waited for a second before the next one was asked."""
-    world = World(310)
-    world.run(seconds(4))
-    asker = world.nodes[world.node_names[(world.leader() + 1) % 3]]
+    deployment = SimulatedDeployment(310)
+    deployment.run(seconds(4))
+    asker = deployment.nodes[deployment.node_names[(deployment.leader() + 1) % 3]]
     silent = asker.peers.connections[0].peer.name
-    world.refused.add(asker._platform.name)
-    world.silence_node(world.node_names.index(silent), seconds(10))
-    world.run(seconds(0.8))
+    deployment.refused.add(asker._platform.name)
+    deployment.silence_node(deployment.node_names.index(silent), seconds(10))
+    deployment.run(seconds(0.8))
     assert asker.peers.connections[0].is_up
     answers = []
 
@@ -68,5 +71,5 @@
         answers.append(await asker.handle("GET", "/submissions/job-000001", b""))
 
     run_in_background(ask(), "asking")
-    world.run(seconds(0.2))
+    deployment.run(seconds(0.2))
     assert [answer.status for answer in answers] == [404]
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -1,4 +1,4 @@
-"""Three real processes on loopback against the stand-ins: the wiring, the sockets and the command line."""
+"""Three real processes on loopback against the fakes: the wiring, the sockets and the command line."""
 
 import subprocess
 import sys
@@ -11,29 +11,29 @@
 
 def test_three_processes_run_jobs_through_kills(tmp_path):
     async def story():
-        world = Loopback(tmp_path)
+        deployment = Loopback(tmp_path)
         try:
-            await world.ready()
-            await world.run_job("job-000001")
+            await deployment.ready()
+            await deployment.run_job("job-000001")
             # Whichever leads, one kill in three hits it; all three are killed in turn.
             for at in range(3):
-                world.kill(at)
-                world.start(at)
-                await world.run_job(f"job-00001{at}")
-            for job in list(world.jobs):
-                await world.done(job)
+                deployment.kill(at)
+                deployment.start(at)
+                await deployment.run_job(f"job-00001{at}")
+            for job in list(deployment.jobs):
+                await deployment.done(job)
             # The process killed last may still be starting while the others have served all this; it has to
             # come back too, and only then can it be asked straight.
             for at in range(3):
-                assert await world.serves(at)
-            assert (await world.ask(0, "GET", "/submissions/job-999999")).status == 404
-            assert (await world.ask(1, "POST", "/submissions", b"{")).status == 400
-            assert (await world.ask(2, "PUT", "/submissions")).status == 405
-            assert (await world.ask(2, "GET", "/nowhere")).status == 404
-            big = await world.ask(2, "POST", "/submissions", b" " * 70_000)
+                assert await deployment.serves(at)
+            assert (await deployment.ask(0, "GET", "/submissions/job-999999")).status == 404
+            assert (await deployment.ask(1, "POST", "/submissions", b"{")).status == 400
+            assert (await deployment.ask(2, "PUT", "/submissions")).status == 405
+            assert (await deployment.ask(2, "GET", "/nowhere")).status == 404
+            big = await deployment.ask(2, "POST", "/submissions", b" " * 70_000)
             assert big.status == 400
         finally:
-            world.end()
+            deployment.end()
 
     run_in_reactor(story, 240)
 
--- a/tests/test_whole_fleet.py
+++ b/tests/test_whole_fleet.py
@@ -8,13 +8,13 @@
 from pathlib import Path
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment import Deployment
-from tests.world import World
+from tests.deployment_config import DeploymentConfig
+from tests.simulated_deployment import SimulatedDeployment
 
 MACHINES = 240
 TEAMS = tuple({"name": name, "cpus": 300.0, "cpus_max": 900.0} for name in ("red", "blue", "green"))
 # Sockets for every worker at one node, and hardly more.
-FLEET = Deployment(
+FLEET = DeploymentConfig(
     capacity=MACHINES,
     report=seconds(2.5),
     lease=seconds(8),
@@ -32,13 +32,13 @@
 
 class Day:
     def __init__(self, seed: int) -> None:
-        self.world = World(seed, deployment=FLEET)
-        self.world.cloud.page = 500
+        self.deployment = SimulatedDeployment(seed, config=FLEET)
+        self.deployment.cloud.page = 500
         self.jobs: dict[str, tuple[str, str, bool]] = {}
         for at in range(100):
-            self.world.clock.later(seconds(1 + at / 2), self.submit, at)
-        self.world.clock.later(seconds(24), self.restart_everything)
-        self.world.clock.later(seconds(40), self.cut_zone)
+            self.deployment.clock.later(seconds(1 + at / 2), self.submit, at)
+        self.deployment.clock.later(seconds(24), self.restart_everything)
+        self.deployment.clock.later(seconds(40), self.cut_zone)
 
     def submit(self, number: int) -> None:
         name = ("flag", "flag", "clean", "flag", "decode")[number % 5]
@@ -48,73 +48,78 @@
         fields = CLASSES[name] | {"bobbin": name, "crew": team}
         if large:
             fields["threads"] *= 4
-        job = self.world.submit(number, **fields)
+        job = self.deployment.submit(number, **fields)
         self.jobs[job] = (name, team, large)
         self.poll(job)
 
     def poll(self, job: str) -> None:
         """Like a user: every few seconds until it is done."""
-        if self.world.told.get(job) != "done":
-            self.world.poll(job)
-            self.world.clock.later(seconds(5), self.poll, job)
+        if self.deployment.told.get(job) != "done":
+            self.deployment.poll(job)
+            self.deployment.clock.later(seconds(5), self.poll, job)
 
     def restart_everything(self) -> None:
         """All controllers end within three seconds, and are back after a while or at once; a fifth of the
         machines are lost without notice at the same time."""
-        world = self.world
+        deployment = self.deployment
         for at, (ends, back) in enumerate(((0.0, 4.0), (1.0, 0.2), (2.5, 3.0))):
-            world.clock.later(seconds(ends), world.kill_node, at)
-            world.clock.later(seconds(ends + back), world.start_node, at)
-        for name in sorted(world.workers)[: MACHINES // 5]:
-            world.kill_machine(name)
+            deployment.clock.later(seconds(ends), deployment.kill_node, at)
+            deployment.clock.later(seconds(ends + back), deployment.start_node, at)
+        for name in sorted(deployment.workers)[: MACHINES // 5]:
+            deployment.kill_machine(name)
 
     def cut_zone(self) -> None:
-        world = self.world
-        inside = [name for name, node in world.nodes.items() if node._platform.zone == "b"]
-        outside = [name for name in world.nodes if name not in inside]
-        length = LAST_TROUBLE - world.clock.now()
-        machines = [w.machine.address for w in world.workers.values() if w.machine.zone == "b"]
+        deployment = self.deployment
+        inside = [name for name, node in deployment.nodes.items() if node._platform.zone == "b"]
+        outside = [name for name in deployment.nodes if name not in inside]
+        length = LAST_TROUBLE - deployment.clock.now()
+        machines = [w.machine.address for w in deployment.workers.values() if w.machine.zone == "b"]
         assert inside and len(machines) > MACHINES // 4
         for name in outside:
-            world.cut(name, machines + inside, True, length)
+            deployment.cut(name, machines + inside, True, length)
         for name in inside:
-            world.cut(name, ["state", "cloud", "user"], True, length)
+            deployment.cut(name, ["state", "cloud", "user"], True, length)
 
     def shares(self, key: int) -> dict:
         """By class, team or size: how much of its jobs is done."""
         found: dict = {}
         for job, of in self.jobs.items():
             found.setdefault(of[key] if key < 2 else (of[0], of[2]), []).append(
-                self.world.told.get(job) == "done"
+                self.deployment.told.get(job) == "done"
             )
         return {name: sum(done) / len(done) for name, done in found.items()}
 
 
 def test_the_whole_fleet_restarts_and_a_zone_is_cut_off():
     day = Day(31)
-    world = day.world
+    deployment = day.deployment
     # The rules are checked in there.
-    world.run(LAST_TROUBLE + seconds(75), timedelta(milliseconds=200))
+    deployment.run(LAST_TROUBLE + seconds(75), timedelta(milliseconds=200))
     assert len(day.jobs) == 100
     for job in day.jobs:
-        assert job in world.accepted
-        answered = world.answered.get(job, timedelta(0))
-        assert answered > LAST_TROUBLE or world.told.get(job) == "done", f"{job} is forgotten"
+        assert job in deployment.accepted
+        answered = deployment.answered.get(job, timedelta(0))
+        assert answered > LAST_TROUBLE or deployment.told.get(job) == "done", f"{job} is forgotten"
     assert set(day.shares(0)) == set(CLASSES) and min(day.shares(0).values()) >= 0.5
     assert len(day.shares(1)) == len(TEAMS) and min(day.shares(1).values()) >= 0.5
     assert len(day.shares(2)) == 2 * len(CLASSES) and min(day.shares(2).values()) >= 0.5
-    waits = [world.began.get(job, seconds(1e6)) - world.sent[job] for job in day.jobs]
+    waits = [deployment.began.get(job, seconds(1e6)) - deployment.sent[job] for job in day.jobs]
     assert max(waits) < seconds(240)
     # Most workers came to one node while the others were away, and it had something to say to each.
-    assert MACHINES // 2 < world.most_open <= FLEET.sockets
-    assert world.started > 2000
+    assert MACHINES // 2 < deployment.most_open <= FLEET.sockets
+    assert deployment.started > 2000
 
 
 def begin_of_day() -> None:
     """Prints what the first half minute of the day was like."""
-    world = Day(31).world
-    world.run(seconds(27), timedelta(milliseconds=200))
-    print(world.started, world.most_open, sorted(world.began.items()), sorted(world.answered.items()))
+    deployment = Day(31).deployment
+    deployment.run(seconds(27), timedelta(milliseconds=200))
+    print(
+        deployment.started,
+        deployment.most_open,
+        sorted(deployment.began.items()),
+        sorted(deployment.answered.items()),
+    )
 
 
 def test_the_same_day_runs_the_same_way_in_any_process():
--- a/tests/upgrade_on_loopback.py
+++ b/tests/upgrade_on_loopback.py
@@ -17,25 +17,25 @@
 LIMIT_S = 380
 
 
-def leader(world):
+def leader(deployment):
     """The number of the controller that the store says leads; None if there is none."""
-    entry = world.state.keys.get(LEADER)
+    entry = deployment.state.keys.get(LEADER)
     return None if entry is None else int(entry[0]["node"].rpartition("-")[2])
 
 
-async def make_leader(world, at, roots):
+async def make_leader(deployment, at, roots):
     """The others end, and are back once this one leads."""
     for other in range(3):
         if other != at:
-            world.kill(other)
+            deployment.kill(other)
     for _ in range(300):
-        if leader(world) == at:
+        if leader(deployment) == at:
             break
         await pause()
-    assert leader(world) == at, f"node-{at} does not lead"
+    assert leader(deployment) == at, f"node-{at} does not lead"
     for other in range(3):
         if other != at:
-            world.start(other, roots[other])
+            deployment.start(other, roots[other])
 
 
 async def upgrade(folder):
@@ -43,31 +43,32 @@
     production = Path(folder) / "production"
     extract_production(production)
     roots = [production] * 3
-    world = Loopback(Path(folder), roots)
+    deployment = Loopback(Path(folder), roots)
     number = 0
     try:
-        await world.ready()
-        await world.run_job("job-000001")
+        await deployment.ready()
+        await deployment.run_job("job-000001")
         for upgraded in range(3):
             roots[upgraded] = ROOT
-            world.kill(upgraded)
-            world.start(upgraded, ROOT)
+            deployment.kill(upgraded)
+            deployment.start(upgraded, ROOT)
             for at in range(3):
                 number += 1
-                await world.submit(f"job-0001{number:02d}")
-                await make_leader(world, at, roots)
-                await world.done(f"job-0001{number:02d}")
+                await deployment.submit(f"job-0001{number:02d}")
+                await make_leader(deployment, at, roots)
+                await deployment.done(f"job-0001{number:02d}")
                 print(
-                    f"{upgraded + 1} of 3 replaced, node-{at} leads, {len(world.jobs)} jobs done", flush=True
+                    f"{upgraded + 1} of 3 replaced, node-{at} leads, {len(deployment.jobs)} jobs done",
+                    flush=True,
                 )
-        await world.submit("job-000200")
-        await world.submit("job-000201", awaits=["job-000200", "job-000001"])
-        await world.submit("job-000202", awaits=["job-000201"])
-        for job in list(world.jobs):
-            await world.done(job)
+        await deployment.submit("job-000200")
+        await deployment.submit("job-000201", awaits=["job-000200", "job-000001"])
+        await deployment.submit("job-000202", awaits=["job-000201"])
+        for job in list(deployment.jobs):
+            await deployment.done(job)
         print("upgraded")
     finally:
-        world.end()
+        deployment.end()
 
 
 def main():
