--- a/spindleglade/submissions/api.py
+++ b/spindleglade/submissions/api.py
@@ -25,12 +25,12 @@
     encode_value,
 )
 from spindleglade.store.replica import Replica, StaleReplicaError
-from spindleglade.submissions.acceptance import TooManyDependencies, acceptance_writes
+from spindleglade.submissions.acceptance import acceptance_writes
+from spindleglade.submissions.errors import TooManyDependenciesError, UnschedulableJobError
 from spindleglade.submissions.messages import (
     JobResponse,
     JobStatusResponse,
     MachineShape,
-    UnschedulableJobError,
     check_schedulable,
     decode_dependencies,
     decode_job_reference,
@@ -135,7 +135,7 @@
         accepted = JobRecord("open", job, self._range_size, self._utc(), dependencies)
         try:
             writes = acceptance_writes(accepted, self._client.limits)
-        except TooManyDependencies as error:
+        except TooManyDependenciesError as error:
             log.info("submission refused job=%s reason=%s", job.id, error)
             return await self._reject_unless_known(job.id, _error(422, str(error)))
         key = job_key(job.id)
--- a/spindleglade/submissions/dependency_lists.py
+++ b/spindleglade/submissions/dependency_lists.py
@@ -1,10 +1,10 @@
-"""The dependencies that a job's record does not hold, as they are read from keys of their own."""
+"""The dependencies of jobs that are stored under keys of their own, beside the jobs' records."""
 
 from spindleglade.submissions.records import JobRecord, split_dependency_key
 
 
 class DependencyLists:
-    """Lists of unfinished jobs, and of jobs whose record has not been read yet, by job and number."""
+    """The lists of jobs that are open or whose record has not been read yet, by job and number."""
 
     def __init__(self) -> None:
         self._lists: dict[str, dict[int, list[str]]] = {}
@@ -14,12 +14,12 @@
         return len(self._lists)
 
     def add(self, key: str, dependencies: list[str]) -> None:
-        """Takes in what a key holds; telling it again changes nothing."""
+        """Adds the list stored under a key; adding it again changes nothing."""
         job, number = split_dependency_key(key)
         self._lists.setdefault(job, {})[number] = dependencies
 
     def forget(self, job: str) -> None:
-        """The job is over, and nobody asks for its dependencies any more."""
+        """Drops the lists of a job that is over."""
         self._lists.pop(job, None)
 
     def is_complete(self, record: JobRecord) -> bool:
--- /dev/null
+++ b/spindleglade/submissions/errors.py
@@ -0,0 +1,36 @@
+"""Errors raised while a submission is checked. Their messages are sent to users and kept to the letter."""
+
+from enum import StrEnum
+
+
+class SubmissionError(Exception):
+    """A well-formed submission that cannot be accepted."""
+
+    def __init__(self, job: str, message: str) -> None:
+        super().__init__(message)
+        self.job = job
+
+
+class UnschedulableReason(StrEnum):
+    """Why a job can never run, as its user is told."""
+
+    UNKNOWN_TEAM = "unknown team"
+    OVER_TEAM_LIMIT = "more is needed at once than the team's limit"
+    FITS_NO_MACHINE_TYPE = "a task fits no allowed machine type"
+    UNKNOWN_DEPENDENCY = "a job that it awaits was never accepted"
+
+
+class UnschedulableJobError(SubmissionError):
+    """The job can never run, whatever else runs."""
+
+    def __init__(self, job: str, reason: UnschedulableReason) -> None:
+        super().__init__(job, str(reason))
+        self.reason = reason
+
+
+class TooManyDependenciesError(SubmissionError):
+    """The dependencies of a job do not fit into one transaction of the state service."""
+
+    def __init__(self, job: str, count: int) -> None:
+        super().__init__(job, f"{count} awaited jobs are more than the state service takes at once")
+        self.count = count
--- a/spindleglade/submissions/messages.py
+++ b/spindleglade/submissions/messages.py
@@ -1,28 +1,67 @@
-"""What users send and get. Wire names are turned into the field's usual terms here and nowhere else."""
+"""The messages that users send and receive. Wire names are translated to the terms of the code only here."""
 
-from typing import Annotated, Literal
+from enum import StrEnum
+from typing import Annotated
 
 import msgspec
 
 from spindleglade.runtime.decoding import decode
 from spindleglade.settings.platform import Team
+from spindleglade.submissions.errors import UnschedulableJobError, UnschedulableReason
 
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=500)]
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
 JobId = Annotated[str, msgspec.Meta(pattern=r"\Ajob-[0-9]{1,60}\Z")]
 
-Priority = Literal["critical", "high", "normal", "best_effort"]
-RANK: dict[str, int] = {"critical": 3, "high": 2, "normal": 1, "best_effort": 0}
 MAX_TASKS = 100_000
 
 
+class Priority(StrEnum):
+    """How important a job is to its user."""
+
+    CRITICAL = "critical"
+    HIGH = "high"
+    NORMAL = "normal"
+    BEST_EFFORT = "best_effort"
+
+
+# A job of a higher rank goes first, and may preempt tasks of a lower one.
+RANK: dict[Priority, int] = {
+    Priority.CRITICAL: 3,
+    Priority.HIGH: 2,
+    Priority.NORMAL: 1,
+    Priority.BEST_EFFORT: 0,
+}
+
+
+class JobKind(StrEnum):
+    """How the tasks of a job belong together."""
+
+    # Each task runs independently of the others.
+    ARRAY = "array"
+    # All tasks start together.
+    GANG = "group"
+    # The tasks start together, and run until the job is cancelled.
+    SERVICE = "standing"
+
+
+class JobStatus(StrEnum):
+    """The state of a job as its user sees it. The last two are final."""
+
+    PENDING = "pending"
+    RUNNING = "running"
+    DONE = "done"
+    CANCELLED = "aborted"
+
+
 class Submission(msgspec.Struct, frozen=True):
+    """A job as its user describes it. Fields whose names end in `_s` are seconds."""
+
     id: JobId = msgspec.field(name="ref")
     job_class: Text = msgspec.field(name="bobbin")
     team: Text = msgspec.field(name="crew")
-    # `array` tasks run each for itself; a `group` runs all at once; `standing` ones run until aborted.
-    kind: Literal["array", "group", "standing"] = msgspec.field(name="weave")
+    kind: JobKind = msgspec.field(name="weave")
     priority: Priority = msgspec.field(name="urgency")
     tasks: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS)] = msgspec.field(name="threads")
     cpus: Positive = msgspec.field(name="vcpus")
@@ -35,7 +74,7 @@
     spot: bool = msgspec.field(name="windfall")
     checkpoint_s: Amount = msgspec.field(name="knot_s")
     save_s: Amount = msgspec.field(name="tie_s")
-    # Only standing tasks may go without an estimate.
+    # Only a service may go without an estimate.
     estimate_s: Amount | None = msgspec.field(name="reckon_s", default=None)
     types: Annotated[list[Text], msgspec.Meta(max_length=50)] | None = msgspec.field(
         name="frames", default=None
@@ -44,22 +83,24 @@
     deadline_s: Amount | None = msgspec.field(name="due_s", default=None)
 
     def __post_init__(self) -> None:
-        if self.estimate_s is None and self.kind != "standing":
+        if self.estimate_s is None and self.kind != JobKind.SERVICE:
             raise ValueError("Object missing required field `reckon_s`")
 
     @property
     def is_gang(self) -> bool:
-        """Whether all tasks must find room at once."""
-        return self.kind != "array"
+        """Whether all tasks must be placed at once."""
+        return self.kind != JobKind.ARRAY
 
 
 class _Dependencies(msgspec.Struct):
-    """The part of a submission that says which jobs have to be done before any of its tasks starts."""
+    """The jobs that must be done before any task of a submitted job starts."""
 
     dependencies: list[JobId] | None = msgspec.field(name="awaits", default=None)
 
 
 class _JobReference(msgspec.Struct):
+    """The job that a submission is about, whatever else it says."""
+
     id: JobId = msgspec.field(name="ref")
 
 
@@ -69,19 +110,24 @@
 
 
 class JobResponse(msgspec.Struct):
+    """The answer to a submission or a cancellation."""
+
     id: str = msgspec.field(name="ref")
     state: str = msgspec.field(name="stage")
 
 
 class JobStatusResponse(msgspec.Struct):
+    """The answer to a status request."""
+
     id: str = msgspec.field(name="ref")
     state: str = msgspec.field(name="stage")
+    # Numbers of tasks.
     done: int
     running: int
 
 
 class MachineShape(msgspec.Struct, frozen=True):
-    """What validation needs to know of a machine type."""
+    """The part of a machine type that decides which tasks fit."""
 
     name: str
     cpus: float
@@ -90,18 +136,16 @@
     zones: tuple[str, ...]
 
 
-class UnschedulableJobError(Exception):
-    """The job can never run here."""
-
-
 def decode_submission(body: bytes) -> Submission:
     """Raises msgspec.DecodeError (of which its ValidationError is one) on anything malformed."""
     return decode(_submissions.decode, body)
 
 
 def decode_dependencies(body: bytes) -> list[str]:
-    """The jobs that a submission depends on, each once, in the order given. Raises msgspec.DecodeError on
-    anything but a list of job ids."""
+    """The jobs that a submitted job depends on, each once, in the order given.
+
+    Raises msgspec.DecodeError on anything but a list of job ids.
+    """
     return list(dict.fromkeys(decode(_dependencies.decode, body).dependencies or ()))
 
 
@@ -110,24 +154,28 @@
     try:
         return decode(_job_references.decode, body).id
     except (msgspec.DecodeError, UnicodeDecodeError):
-        # What cannot be read at all is a repeat of nothing.
+        # A body that cannot be decoded at all repeats no submission.
         return None
 
 
 def check_schedulable(job: Submission, teams: dict[str, Team], shapes: list[MachineShape]) -> None:
+    """Raises UnschedulableJobError for a job that can never run, whatever else runs."""
     team = teams.get(job.team)
     if team is None:
-        raise UnschedulableJobError("unknown team")
-    at_once = job.tasks if job.is_gang else 1
-    if job.cpus * at_once > team.cpus_max or job.gpus * at_once > team.gpus_max:
-        raise UnschedulableJobError("more is needed at once than the team's limit")
-    for shape in shapes:
-        if (
-            (job.types is None or shape.name in job.types)
-            and (job.zone is None or not shape.zones or job.zone in shape.zones)
-            and job.cpus <= shape.cpus
-            and job.gpus <= shape.gpus
-            and job.memory_gb <= shape.memory_gb
-        ):
-            return
-    raise UnschedulableJobError("a task fits no allowed machine type")
+        raise UnschedulableJobError(job.id, UnschedulableReason.UNKNOWN_TEAM)
+    tasks_at_once = job.tasks if job.is_gang else 1
+    if job.cpus * tasks_at_once > team.cpus_max or job.gpus * tasks_at_once > team.gpus_max:
+        raise UnschedulableJobError(job.id, UnschedulableReason.OVER_TEAM_LIMIT)
+    if not any(_fits(job, shape) for shape in shapes):
+        raise UnschedulableJobError(job.id, UnschedulableReason.FITS_NO_MACHINE_TYPE)
+
+
+def _fits(job: Submission, shape: MachineShape) -> bool:
+    """Whether a task of the job may run on machines of this type, and fits them."""
+    return (
+        (job.types is None or shape.name in job.types)
+        and (job.zone is None or not shape.zones or job.zone in shape.zones)
+        and job.cpus <= shape.cpus
+        and job.gpus <= shape.gpus
+        and job.memory_gb <= shape.memory_gb
+    )
--- a/spindleglade/submissions/test_dependencies.py
+++ b/spindleglade/submissions/test_dependencies.py
@@ -11,8 +11,9 @@
 
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.client import Put, encode_value
-from spindleglade.submissions.acceptance import TooManyDependencies, acceptance_writes, split_list
+from spindleglade.submissions.acceptance import acceptance_writes, split_list
 from spindleglade.submissions.dependencies import DependencyGraph, DependencyOutcome
+from spindleglade.submissions.errors import TooManyDependenciesError
 from spindleglade.submissions.messages import decode_submission
 from spindleglade.submissions.records import JobRecord, dependency_key, job_key
 from spindleglade.submissions.test_submissions import Service, encode
@@ -101,7 +102,7 @@
     assert not graph.is_released(name(size - 1))
     for number in range(size // 2):
         graph.observe(name(number), DependencyOutcome.DONE)
-    changed = graph.observe(name(size // 2), DependencyOutcome.ABORTED)
+    changed = graph.observe(name(size // 2), DependencyOutcome.CANCELLED)
     assert time.process_time() - began < 10
     if shape == "fan out":
         assert changed == set() and graph.is_released(name(size - 1))
@@ -295,7 +296,7 @@
     service = Service()
     service.limits = StateLimits(100.0, 40.0, 2.0, 4)
     names = [f"job-{number:06d}" for number in range(2000)]
-    with pytest.raises(TooManyDependencies):
+    with pytest.raises(TooManyDependenciesError):
         acceptance_writes(JobRecord("open", spec("job-999999"), 8, None, names), service.limits)
     for dependency in names:
         service.mod_revisions[job_key(dependency)] = 1
@@ -313,14 +314,14 @@
 def test_the_graph_keeps_nothing_of_pipelines_that_are_over():
     """Each later pass over all members would look at every job that was ever cancelled."""
     graph = DependencyGraph()
-    for last in (DependencyOutcome.DONE, DependencyOutcome.ABORTED):
+    for last in (DependencyOutcome.DONE, DependencyOutcome.CANCELLED):
         first, second, third = (f"job-{last.value}-{place}" for place in range(3))
         for job, needs in ((first, []), (second, [first]), (third, [first, second])):
             graph.observe(job, DependencyOutcome.OPEN)
             graph.add(job, needs)
         assert len(graph.members()) == 3
         graph.observe(first, last)
-        graph.observe(second, DependencyOutcome.ABORTED)
+        graph.observe(second, DependencyOutcome.CANCELLED)
         assert not graph.members() and graph.is_cancelled(third) and not graph.is_released(third)
         # One that names a cancelled job later leaves nothing either.
         assert graph.add(f"{third}-late", [third]) == {f"{third}-late"} and not graph.members()
--- a/spindleglade/submissions/test_submissions.py
+++ b/spindleglade/submissions/test_submissions.py
@@ -21,9 +21,9 @@
 )
 from spindleglade.store.replica import StaleReplicaError
 from spindleglade.submissions.api import UserApi
+from spindleglade.submissions.errors import UnschedulableJobError
 from spindleglade.submissions.messages import (
     MachineShape,
-    UnschedulableJobError,
     check_schedulable,
     decode_job_reference,
     decode_submission,
