--- a/spindleglade/submissions/api.py
+++ b/spindleglade/submissions/api.py
@@ -27,6 +27,7 @@
 from spindleglade.store.replica import Replica, StaleReplicaError
 from spindleglade.submissions.acceptance import acceptance_writes
 from spindleglade.submissions.errors import TooManyDependenciesError, UnschedulableJobError
+from spindleglade.submissions.job_view import JobView
 from spindleglade.submissions.messages import (
     JobResponse,
     JobStatusResponse,
@@ -37,7 +38,7 @@
     decode_submission,
 )
 from spindleglade.submissions.records import JobRecord, final_record, job_key, tasks_per_range
-from spindleglade.submissions.views import JobView, JobViews
+from spindleglade.submissions.views import JobViews
 
 log = logging.getLogger("spindleglade.submissions")
 
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -40,6 +40,7 @@
 from spindleglade.submissions import records, views
 from spindleglade.submissions.acceptance import acceptance_writes
 from spindleglade.submissions.api import UserApi
+from spindleglade.submissions.job_view import JobView
 from spindleglade.submissions.task_ranges import TaskRanges
 from spindleglade.workers import messages as workers
 from spindleglade.workers.api import WorkerApi
@@ -117,7 +118,7 @@
 }
 
 # Structs that never leave the process.
-INTERNAL: list[type[msgspec.Struct]] = [users.MachineShape, views.JobView, election.Term]
+INTERNAL: list[type[msgspec.Struct]] = [users.MachineShape, JobView, election.Term]
 
 PIECES = TaskRanges(100, 250, [120, 210])
 
