--- a/spindleglade/submissions/__init__.py
+++ b/spindleglade/submissions/__init__.py
@@ -1,1 +1,1 @@
-"""Users: submissions, questions and aborts, and the job records behind them."""
+"""Users: the interface for submissions, status and cancellation, and the records of jobs."""
--- a/spindleglade/submissions/test_submissions.py
+++ b/spindleglade/submissions/test_submissions.py
@@ -302,7 +302,7 @@
     service.reachable = False
     assert service.status("POST", "/submissions", body) == 503
     # Nor by a node that does not know the types: it cannot decide, or knows the job.
-    service.reachable, service.api._shapes = True, lambda: None
+    service.reachable, service.api._submitter._shapes = True, lambda: None
     assert service.status("POST", "/submissions", body) == 200
     # What names no job is a repeat of nothing.
     assert service.status("POST", "/submissions", b'{"ref":"job-000412"') == 400
