--- a/spindleglade/backfill/planner.py
+++ b/spindleglade/backfill/planner.py
@@ -16,16 +16,13 @@
 
 import numpy as np
 
+from spindleglade.backfill.plan import ExpectedRelease, Placement, Plan, UnplacedDemand
 from spindleglade.backfill.preemption import PreemptionMixin
 from spindleglade.backfill.reservation import ReservationMixin
 from spindleglade.backfill.snapshot import (
-    ExpectedRelease,
     JobView,
-    Placement,
-    Plan,
     RunningTask,
     Snapshot,
-    UnplacedDemand,
     is_best_effort,
     unclaimed_guarantee_cpus,
 )
--- a/spindleglade/backfill/planning_state.py
+++ b/spindleglade/backfill/planning_state.py
@@ -3,8 +3,9 @@
 import numpy as np
 
 from spindleglade.backfill.arrays import Array, Counts, Mask
+from spindleglade.backfill.plan import Plan
 from spindleglade.backfill.probability import Reservation
-from spindleglade.backfill.snapshot import JobView, MachineView, Plan, RunningTask, Snapshot
+from spindleglade.backfill.snapshot import JobView, MachineView, RunningTask, Snapshot
 
 
 class MachineColumns:
--- a/spindleglade/backfill/preemption.py
+++ b/spindleglade/backfill/preemption.py
@@ -6,14 +6,9 @@
 import numpy as np
 
 from spindleglade.backfill.arrays import Array
+from spindleglade.backfill.plan import Preemption
 from spindleglade.backfill.planning_state import PlanningState
-from spindleglade.backfill.snapshot import (
-    CAPACITY_TOLERANCE,
-    JobView,
-    Preemption,
-    RunningTask,
-    is_best_effort,
-)
+from spindleglade.backfill.snapshot import CAPACITY_TOLERANCE, JobView, RunningTask, is_best_effort
 
 # Tasks stopped in one round; the rest waits for the next.
 _MAX_PREEMPTIONS = 24
--- a/spindleglade/backfill/snapshot.py
+++ b/spindleglade/backfill/snapshot.py
@@ -1,26 +1,34 @@
-"""What a planning round is given, and what it gives back."""
+"""The snapshot that a planning pass works on: waiting jobs, machines with their tasks, and teams."""
 
 import math
-from collections.abc import Callable
 from dataclasses import dataclass, field
 from datetime import timedelta
 
 import numpy as np
 
-from spindleglade.backfill.arrays import Array, Counts
+from spindleglade.backfill.arrays import Array
 from spindleglade.backfill.distributions import Predictor
 from spindleglade.settings.platform import Team
 
-# Room in CPUs, GPUs and memory comes of sums and differences: what lacks less than this is there.
+# Free CPUs, GPUs and gigabytes are sums and differences, so a lack of less than this is a rounding error.
 CAPACITY_TOLERANCE = 1e-6
 
-# More tasks than there can be, where nothing bounds their number.
+# More tasks than there can be, for where nothing limits their number.
 UNLIMITED_TASKS = 1e9
 
 
+# The columns of `task_rows`. A task that has not begun to run has no start.
+TEAM_COLUMN = 0
+ESTIMATE_COLUMN = 1
+RUNNING_SINCE_COLUMN = 2
+# CPUs, GPUs, memory.
+DEMAND_COLUMNS = slice(3, 6)
+_COLUMN_COUNT = 6
+
+
 @dataclass(slots=True)
 class RunningTask:
-    """A task that is, or must be taken to be, on a machine."""
+    """A task that is, or must be assumed to be, on a machine."""
 
     job: str
     index: int
@@ -32,18 +40,21 @@
     estimate: timedelta
     # Since when it runs; None while it fetches its image.
     running_since: timedelta | None = None
-    # The most that stopping it loses; None: all it has run.
+    # The most run time that preempting it loses; None: all of it.
     max_loss: timedelta | None = None
     # Whether it is being stopped already.
     stopping: bool = False
-    # It was started because its job was overdue.
+    # Whether it was started because its job was overdue.
     started_overdue: bool = False
 
 
 @dataclass(slots=True)
 class MachineView:
-    """A machine as planning sees it. Kept from round to round until something on the machine changes, so a
-    round may write to `claims` and to nothing else."""
+    """A machine as planning sees it.
+
+    Reused until something on the machine changes, so a planning pass may write to `reserved_capacity` and to
+    nothing else.
+    """
 
     name: str
     type: str
@@ -58,11 +69,12 @@
     images: set[str] = field(default_factory=set)
     fetching: set[str] = field(default_factory=set)
     is_usable: bool = True
-    # Room held for a job: job -> tasks it may place here.
+    # For each job that capacity is reserved for, how many tasks it may place here.
     reserved_capacity: dict[str, int] = field(default_factory=dict)
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_memory: float = 0.0
+    # CPUs and GPUs in use, by team.
     used: dict[str, tuple[float, float]] = field(default_factory=dict)
     _rows: Array | None = None
 
@@ -74,18 +86,19 @@
             cpus, gpus = self.used.get(task.team, (0.0, 0.0))
             self.used[task.team] = (cpus + task.cpus, gpus + task.gpus)
 
-    def task_rows(self, codes: dict[str, int]) -> Array:
-        """Its tasks: team, estimate, since when, CPUs, GPUs, memory."""
+    def task_rows(self, team_codes: dict[str, int]) -> Array:
+        """The rows of its tasks, computed once."""
         if self._rows is None:
-            self._rows = task_rows(self.tasks, codes)
+            self._rows = task_rows(self.tasks, team_codes)
         return self._rows
 
 
-def task_rows(tasks: list[RunningTask], codes: dict[str, int]) -> Array:
+def task_rows(tasks: list[RunningTask], team_codes: dict[str, int]) -> Array:
+    """A row for each task; a team without a code has -1."""
     return np.array(
         [
             (
-                codes.get(task.team, -1),
+                team_codes.get(task.team, -1),
                 task.estimate.total_seconds(),
                 np.nan if task.running_since is None else task.running_since.total_seconds(),
                 task.cpus,
@@ -95,16 +108,18 @@
             for task in tasks
         ],
         float,
-    ).reshape(-1, 6)
+    ).reshape(-1, _COLUMN_COUNT)
 
 
 @dataclass(slots=True)
 class JobView:
+    """A job with waiting tasks as planning sees it."""
+
     id: str
     team: str
     job_class: str
     rank: int
-    # Waiting task numbers, in order; only as many as may be of use in one round.
+    # Numbers of waiting tasks, in order; only as many as one planning pass may place.
     waiting_tasks: list[int]
     task_count: int
     cpus: float
@@ -120,21 +135,21 @@
     estimate: timedelta
     # Tasks now placed, by zone.
     tasks_by_zone: dict[str, int] = field(default_factory=dict)
-    # All waiting tasks start in one round, or none does.
+    # All waiting tasks are placed in one planning pass, or none is.
     is_gang: bool = False
-    # Has had no start for so long that nothing may go before it.
+    # No task of it was started for so long that nothing may go before it.
     is_overdue: bool = False
-    # Machines on which it failed.
+    # Machines on which its tasks failed.
     avoided_machines: frozenset[str] = frozenset()
-    # Waiting tasks an older attempt of which still lies uncleared on some machines.
+    # For waiting tasks, the machines that still hold an earlier attempt.
     excluded_machines: dict[int, set[str]] = field(default_factory=dict)
-    # It has failed on several machines; this start only shows whether it still does.
+    # It failed on several machines; one task shows whether it still does.
     is_probe: bool = False
-    # Jobs that need it will miss a deadline unless it starts now.
+    # Dependents will miss a deadline unless it starts now.
     is_urgent: bool = False
 
     def equivalence_key(self) -> tuple:
-        """Tasks with the same key are decided together."""
+        """Once a task with this key may not go ahead of the reserved job, none with the same key may."""
         return (
             self.team,
             self.job_class,
@@ -157,108 +172,53 @@
 
     @property
     def demand(self) -> tuple[float, float, float]:
-        """What a task takes: CPUs, GPUs, memory."""
+        """What a task uses: CPUs, GPUs, memory."""
         return (self.cpus, self.gpus, self.memory)
 
     def count_fitting(self, cpus: float, gpus: float, memory: float = math.inf) -> int:
-        """How many of its tasks fit into that, which may be infinite: a team may be without a limit."""
-        most = min(UNLIMITED_TASKS, (cpus + CAPACITY_TOLERANCE) / self.cpus)
+        """How many of its tasks fit into this capacity, which is infinite for a team without a limit."""
+        count = min(UNLIMITED_TASKS, (cpus + CAPACITY_TOLERANCE) / self.cpus)
         if self.gpus > 0:
-            most = min(most, (gpus + CAPACITY_TOLERANCE) / self.gpus)
+            count = min(count, (gpus + CAPACITY_TOLERANCE) / self.gpus)
         if self.memory > 0:
-            most = min(most, (memory + CAPACITY_TOLERANCE) / self.memory)
-        return max(0, int(most))
+            count = min(count, (memory + CAPACITY_TOLERANCE) / self.memory)
+        return max(0, int(count))
 
     def count_fitting_each(self, free: Array) -> Array:
-        """The same for many machines at once, a row of CPUs, GPUs and memory each."""
-        need = np.array(self.demand)
-        asked = need > 0
-        return np.maximum(np.floor((free[:, asked] + CAPACITY_TOLERANCE) / need[asked]).min(axis=1), 0.0)
+        """How many of its tasks fit into each row of free CPUs, GPUs and memory."""
+        demand = np.array(self.demand)
+        needed = demand > 0
+        counts = np.floor((free[:, needed] + CAPACITY_TOLERANCE) / demand[needed])
+        return np.maximum(counts.min(axis=1), 0.0)
 
     @property
     def is_independent(self) -> bool:
-        """Where one task may go does not depend on where the others are."""
+        """Whether the machines that one task may be placed on do not depend on where the others are."""
         return not (self.one_zone or self.spread or self.is_gang or self.excluded_machines)
 
 
 def is_best_effort(work: RunningTask | JobView, teams: dict[str, Team]) -> bool:
-    """Whether it is there to use what would stand idle: it has the lowest priority, and its team is
-    guaranteed nothing."""
+    """Whether it only uses capacity that would be idle: it has the lowest priority, and its team has no
+    guarantee."""
     team = teams.get(work.team)
     return work.rank == 0 and (team is None or not (team.cpus or team.gpus))
 
 
 def unclaimed_guarantee_cpus(teams: dict[str, Team], used: dict[str, float]) -> float:
-    """CPUs that the teams could still claim by their guarantees."""
+    """CPUs of the teams' guarantees that they do not use."""
     return sum(max(0.0, team.cpus - used.get(team.name, 0.0)) for team in teams.values())
 
 
 @dataclass(slots=True)
 class Snapshot:
+    """All that one planning pass depends on."""
+
     # In submission order.
     jobs: list[JobView]
     machines: list[MachineView]
     teams: dict[str, Team]
     predictor: Predictor
     now: timedelta
-    # Ordinary machines are not taken back; spot ones are cheaper, and the others then fall idle sooner.
+    # On-demand machines are not reclaimed by the cloud. Spot ones are cheaper, and where they are preferred
+    # the on-demand ones are idle sooner.
     prefers_on_demand: bool = False
-
-
-@dataclass(slots=True)
-class Placement:
-    job: str
-    index: int
-    machine: str
-
-
-@dataclass(slots=True)
-class Preemption:
-    job: str
-    index: int
-    machine: str
-    # The job room is made for.
-    beneficiary: str
-
-
-@dataclass(slots=True)
-class UnplacedDemand:
-    """Waiting tasks of one job that found no room and are within their team's limit."""
-
-    job: JobView
-    count: int
-    within_guarantee: bool
-    # Whether ordinary machines may be rented for them though the job may use spot ones.
-    may_use_on_demand: bool = False
-
-
-@dataclass(slots=True)
-class ExpectedRelease:
-    """What machines have free (a row each: CPUs, GPUs, memory), and what their tasks are expected to free:
-    for each task the place of its machine, after how many seconds, and again CPUs, GPUs, memory."""
-
-    machines: list[MachineView]
-    free: Array
-    machine_indices: Counts
-    seconds_until: Array
-    released: Array
-
-    @classmethod
-    def nothing(cls) -> "ExpectedRelease":
-        return cls([], np.zeros((0, 3)), np.zeros(0, np.int64), np.zeros(0), np.zeros((0, 3)))
-
-
-@dataclass(slots=True)
-class Plan:
-    placements: list[Placement] = field(default_factory=list)
-    preemptions: list[Preemption] = field(default_factory=list)
-    # Room held on a machine for a job's tasks: machine, job, tasks in all.
-    reserved_capacity: list[tuple[str, str, int]] = field(default_factory=list)
-    unplaced: list[UnplacedDemand] = field(default_factory=list)
-    # For the fleet, which does not always ask.
-    expected_release: Callable[[], ExpectedRelease] = ExpectedRelease.nothing
-    # CPUs of usable machines that nothing takes, and those that teams use.
-    spare_cpus: float = 0.0
-    used_cpus: dict[str, float] = field(default_factory=dict)
-    reserved_job: str | None = None
-    delay_checks: int = 0
--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from spindleglade.backfill.distributions import Bins, History, Predictor
+from spindleglade.backfill.plan import Plan
 from spindleglade.backfill.planner import Planner
-from spindleglade.backfill.snapshot import Plan
 from spindleglade.controller.history_writer import HistoryWriter
 from spindleglade.controller.pipelines import PipelineUpdater
 from spindleglade.controller.planning_loop import PlanningLoop
--- a/spindleglade/controller/planning_loop.py
+++ b/spindleglade/controller/planning_loop.py
@@ -8,8 +8,8 @@
 
 from twisted.internet.defer import Deferred
 
+from spindleglade.backfill.plan import Plan
 from spindleglade.backfill.planner import Planner
-from spindleglade.backfill.snapshot import Plan
 from spindleglade.runtime.clock import ZERO, Clock, sleep
 from spindleglade.runtime.periodic_task import PeriodicTask
 from spindleglade.workers.cluster_state import ClusterState
--- a/spindleglade/fleet/autoscaler.py
+++ b/spindleglade/fleet/autoscaler.py
@@ -11,7 +11,8 @@
 from datetime import timedelta
 from functools import partial
 
-from spindleglade.backfill.snapshot import ExpectedRelease, Plan, UnplacedDemand, unclaimed_guarantee_cpus
+from spindleglade.backfill.plan import ExpectedRelease, Plan, UnplacedDemand
+from spindleglade.backfill.snapshot import unclaimed_guarantee_cpus
 from spindleglade.fleet.client import (
     MAX_PROVISIONED_PER_REQUEST,
     MAX_TERMINATED_PER_REQUEST,
--- a/spindleglade/fleet/demand.py
+++ b/spindleglade/fleet/demand.py
@@ -14,7 +14,8 @@
 from numpy.typing import ArrayLike
 
 from spindleglade.backfill.arrays import Array
-from spindleglade.backfill.snapshot import ExpectedRelease, JobView, MachineView, UnplacedDemand
+from spindleglade.backfill.plan import ExpectedRelease, UnplacedDemand
+from spindleglade.backfill.snapshot import JobView, MachineView
 from spindleglade.fleet.messages import MachineType
 from spindleglade.settings.platform import Team
 
--- a/spindleglade/fleet/on_demand.py
+++ b/spindleglade/fleet/on_demand.py
@@ -8,7 +8,8 @@
 from dataclasses import replace
 from datetime import timedelta
 
-from spindleglade.backfill.snapshot import UnplacedDemand, is_best_effort
+from spindleglade.backfill.plan import UnplacedDemand
+from spindleglade.backfill.snapshot import is_best_effort
 from spindleglade.runtime.clock import seconds
 from spindleglade.settings.operator import FleetSettings
 from spindleglade.settings.platform import Team
--- a/spindleglade/fleet/test_fleet.py
+++ b/spindleglade/fleet/test_fleet.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from twisted.internet.defer import ensureDeferred
 
-from spindleglade.backfill.snapshot import ExpectedRelease, Plan, UnplacedDemand
+from spindleglade.backfill.plan import ExpectedRelease, Plan, UnplacedDemand
 from spindleglade.backfill.test_planner import job, machine
 from spindleglade.fleet.autoscaler import Autoscaler
 from spindleglade.fleet.client import (
--- a/spindleglade/fleet/test_on_demand.py
+++ b/spindleglade/fleet/test_on_demand.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from spindleglade.backfill.snapshot import UnplacedDemand
+from spindleglade.backfill.plan import UnplacedDemand
 from spindleglade.backfill.test_planner import job
 from spindleglade.fleet.on_demand import OnDemandPolicy
 from spindleglade.runtime.clock import seconds
--- a/spindleglade/workers/planning_bridge.py
+++ b/spindleglade/workers/planning_bridge.py
@@ -4,7 +4,8 @@
 from collections import Counter
 from datetime import timedelta
 
-from spindleglade.backfill.snapshot import Plan, Snapshot
+from spindleglade.backfill.plan import Plan
+from spindleglade.backfill.snapshot import Snapshot
 from spindleglade.workers.attempts import (
     PLACED,
     WAITING,
--- a/spindleglade/workers/test_cluster_state.py
+++ b/spindleglade/workers/test_cluster_state.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from spindleglade.backfill.distributions import Bins, Predictor
-from spindleglade.backfill.snapshot import Placement, Plan, Preemption
+from spindleglade.backfill.plan import Placement, Plan, Preemption
 from spindleglade.runtime.clock import seconds
 from spindleglade.settings import Team
 from spindleglade.submissions.messages import Submission
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from spindleglade.backfill.snapshot import Placement, Plan
+from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.controller.leader import Leader
 from spindleglade.controller.pipelines import PipelineUpdater
 from spindleglade.leadership.election import Term
--- a/spindleglade/workers/test_reasons.py
+++ b/spindleglade/workers/test_reasons.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from spindleglade.backfill.snapshot import Placement, Plan
+from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.runtime.log_throttle import LogThrottle
 from spindleglade.submissions.records import JobRecord
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_splitting.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
 
-from spindleglade.backfill.snapshot import Placement, Plan
+from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.controller.leader import Leader
 from spindleglade.controller.test_leader import Learner
 from spindleglade.http.web import ClientResponse
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from twisted.internet.defer import Deferred
 
-from spindleglade.backfill.snapshot import Placement, Plan
+from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.controller.leader import Leader
 from spindleglade.controller.test_leader import Learner
 from spindleglade.http.web import ClientResponse, NoResponseError
--- a/spindleglade/workers/test_state_writer_errors.py
+++ b/spindleglade/workers/test_state_writer_errors.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from spindleglade.backfill.snapshot import Placement, Plan
+from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.leadership.election import Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.store.client import Put, ValueTooLargeError, encode_value
