--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -53,7 +53,7 @@
 from spindleglade.workers.cluster_state import ClusterState
 from spindleglade.workers.command_dispatcher import CommandDispatcher
 from spindleglade.workers.messages import Heartbeat, HeartbeatResponse
-from spindleglade.workers.state_writer import StateWriter
+from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 
 log = logging.getLogger("spindleglade.leadership")
 
@@ -209,9 +209,7 @@
             self._clock,
             self.term,
             mod_revisions,
-            self._on_committed,
-            self._on_deposed,
-            self._replica.observe,
+            StateWriterEvents(self._on_committed, self._on_deposed, self._replica.observe),
         )
         self._dispatcher = CommandDispatcher(
             cluster,
--- a/spindleglade/workers/state_writer.py
+++ b/spindleglade/workers/state_writer.py
@@ -1,11 +1,12 @@
-"""Writes the cluster's chunks in group commits, each conditional on the leader key.
+"""Writes the changes of the cluster state to the store in group commits, each conditional on the leader key.
 
-One transaction is under way at a time. Every chunk is conditional on its own mark as well: a transaction
-whose answer was lost may be applied late, and must not undo a newer one.
+One transaction is in flight at a time. Every task range is conditional on its own mod_revision as well: a
+transaction whose outcome is unknown may be applied late, and must not undo a newer one.
 """
 
 import logging
 from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import timedelta
 
 import msgspec
@@ -16,13 +17,10 @@
 from spindleglade.runtime.periodic_task import PeriodicTask
 from spindleglade.store.client import (
     Committed,
-    Condition,
     ConditionFailed,
-    Delete,
     Entry,
     NotAppliedError,
     OutcomeUnknownError,
-    Put,
     StateClient,
     ValueTooLargeError,
     encode_value,
@@ -30,17 +28,39 @@
 from spindleglade.submissions.records import JOBS, JobRecord, job_key
 from spindleglade.workers.attempts import WriteBatch
 from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.write_batcher import WriteBatcher
+from spindleglade.workers.write_transaction import WriteTransaction, set_finished_time
 
 log = logging.getLogger("spindleglade.workers")
 
-# Of the 64 KiB a transaction may have, what its values may take; the rest is for keys and conditions.
-MAX_TRANSACTION_VALUE_BYTES = 40 * 1024
-# How long what nobody waits for gathers, and how soon a write that failed is tried again.
+# How long changes that nobody waits for are gathered.
 LOW_PRIORITY_DELAY = seconds(0.1)
+# How soon a write that was not applied, or may not have been, is tried again.
 RETRY_DELAY = seconds(0.3)
+# How long to wait after reading a job record that cannot be decoded.
+MALFORMED_RECORD_DELAY = seconds(0.05)
+
+
+def _ignore_record(key: str, value: bytes, mod_revision: int) -> None:
+    """For a writer whose records nobody observes."""
+
+
+@dataclass(frozen=True, slots=True)
+class StateWriterEvents:
+    """Whom a state writer tells of what it finds in the store."""
+
+    # A batch is committed, or a job has changed: there may be commands to send.
+    on_committed: Callable[[], None]
+    # Another controller leads; called with the reason.
+    on_deposed: Callable[[str], None]
+    # A job's record as the store holds it, by key, value and mod_revision. By a final one dependents are
+    # released without waiting for the watch.
+    on_record_observed: Callable[[str, bytes, int], None] = _ignore_record
 
 
 class StateWriter:
+    """Writes what changes in the cluster state, batch by batch, until it is stopped or its leader deposed."""
+
     def __init__(
         self,
         cluster: ClusterState,
@@ -48,41 +68,29 @@
         clock: Clock,
         term: Term,
         mod_revisions: dict[str, int],
-        committed: Callable[[], None],
-        deposed: Callable[[str], None],
-        learn: Callable[[str, bytes, int], None] = lambda key, value, mod_revision: None,
+        events: StateWriterEvents,
     ) -> None:
-        """`learn` is told each record of an end that the store holds, with its key and mark: dependents are
-        released by it without waiting for the watch."""
+        """`mod_revisions` are those of the task ranges in the store, and are kept up to date."""
         self._cluster = cluster
         self._client = client
         self._clock = clock
         self._term = term
-        # Marks of the chunks in the store; 0 for one that may be there, its write being unanswered.
+        # 0 for a key that may exist, since the outcome of its write is unknown.
         self._mod_revisions = mod_revisions
-        self._on_committed = committed
-        self._on_deposed = deposed
-        self._observe_record = learn
+        self._events = events
+        self._batcher = WriteBatcher(cluster, client)
         self._stopped = False
-        self._loop = PeriodicTask(clock, "recorder", self._write_next, self._until_next)
-        # How long the loop waits before it looks again; None: until something has changed.
+        self._loop = PeriodicTask(clock, "state_writer", self._write_next, self._until_next)
+        # How long the loop waits before it looks for changes again; None: until it is woken.
         self._pause: timedelta | None = ZERO
         self._wakeup: Deferred[None] | None = None
-        # Conditions cost too: four times the changes are allowed, one is the leader key, three a part.
-        self._max_operations = max(1, client.limits.operations - 1)
-        # The limit on values by which the latest batch was collected.
-        self._batch_value_limit = client.value_bytes
-        # What was last refused for its size.
-        self._rejected_contents: list[tuple[str, bytes]] | None = None
-        # How many batches of one item are still to come, after a larger one was refused for its size.
-        self._single_item_batches = 0
 
     def start(self) -> None:
         """Begins to write what has changed."""
         self._loop.start()
 
     def stop(self) -> None:
-        """Nothing more is written."""
+        """Ends the writing; the response to a transaction in flight is ignored."""
         self._stopped = True
         self._loop.stop()
         self.wake()
@@ -93,10 +101,10 @@
         return self._loop.stall_reason
 
     def wake(self) -> None:
-        """Something has changed."""
+        """Looks for changes at once if the writer was waiting for some."""
         if self._wakeup is not None:
-            idle, self._wakeup = self._wakeup, None
-            idle.callback(None)
+            wakeup, self._wakeup = self._wakeup, None
+            wakeup.callback(None)
 
     async def _until_next(self) -> None:
         if self._pause is None:
@@ -106,148 +114,70 @@
             await sleep(self._clock, self._pause)
 
     async def _write_next(self) -> None:
-        """Writes one batch; what it could not write is put back."""
+        """Writes one batch; what could not be written is put back."""
         self._pause = ZERO
-        batch = self._collect()
+        batch = self._batcher.collect(self._mod_revisions)
         try:
             await self._write_batch(batch)
         except Exception:
-            # Whatever breaks, all of it is written once more: what the store holds of it by now, and by which
-            # marks, its next answer shows.
+            # All of it is written once more. What the store holds of it by now, and by which mod_revisions,
+            # its next response shows.
             self._cluster.requeue(batch)
             raise
 
     async def _write_batch(self, batch: WriteBatch) -> None:
         if batch.size == 0:
-            self._forget_finished_jobs(batch)
+            self._on_nothing_to_write(batch)
             return
-        self._limit_batch_size(batch)
-        self._single_item_batches = max(0, self._single_item_batches - 1)
-        if _batch_contents(batch) == self._rejected_contents:
-            self._on_too_large(batch, "refused before")
+        self._batcher.prepare(batch)
+        if self._batcher.was_rejected(batch):
+            self._batcher.on_too_large(batch, "rejected before")
             return
         try:
-            result = await self._send_transaction(batch)
+            result = await self._send(batch)
         except ValueTooLargeError as error:
-            self._on_too_large(batch, str(error))
+            self._batcher.on_too_large(batch, str(error))
         except (NotAppliedError, OutcomeUnknownError) as error:
-            self._on_write_failed(batch, error)
+            self._on_not_committed(batch, error)
         except Exception:
-            self._isolate_failing_item(batch)
+            self._batcher.isolate_failing_change(batch)
             raise
         else:
             if not self._stopped:
-                await self._on_write_answered(batch, result)
+                await self._on_response(batch, result)
 
-    def _collect(self) -> WriteBatch:
-        most = 1 if self._single_item_batches else self._max_operations
-        self._batch_value_limit = self._client.value_bytes
-        return self._cluster.collect_writes(
-            most, self._mod_revisions, self._client.spare_writes, self._batch_value_limit
-        )
+    async def _send(self, batch: WriteBatch) -> Committed | ConditionFailed:
+        set_finished_time(batch, self._clock.utc())
+        transaction = WriteTransaction(batch, self._term.mod_revision, self._mod_revisions)
+        return await self._client.compare_and_swap(transaction.conditions, transaction.changes)
 
-    def _forget_finished_jobs(self, batch: WriteBatch) -> None:
-        """Nothing is to be written now."""
-        for job in batch.finished_jobs:
-            self._cluster.forget_job(job)
+    def _on_nothing_to_write(self, batch: WriteBatch) -> None:
+        self._forget_finished_jobs(batch)
         if self._cluster.pending_writes:
-            # Only what nobody waits for: it gathers until there are changes to spare.
+            # Only changes that nobody waits for: they are gathered until the store has capacity to spare.
             self._pause = LOW_PRIORITY_DELAY
         elif not batch.finished_jobs:
             self._pause = None
 
-    def _on_write_failed(self, batch: WriteBatch, error: Exception) -> None:
-        log.info("record delayed size=%d reason=%s", batch.size, error)
+    def _on_not_committed(self, batch: WriteBatch, error: NotAppliedError | OutcomeUnknownError) -> None:
+        log.info("batch not committed changes=%d reason=%s", batch.size, error)
         if isinstance(error, OutcomeUnknownError):
             for write in batch.ranges:
-                # It may be there. Else that of a job aborted meanwhile would be left in the store.
+                # The key may exist. If its job is cancelled meanwhile, it has to be removed.
                 self._mod_revisions.setdefault(write.key, 0)
         self._cluster.requeue(batch)
         self._pause = RETRY_DELAY
 
-    async def _on_write_answered(self, batch: WriteBatch, result: Committed | ConditionFailed) -> None:
+    async def _on_response(self, batch: WriteBatch, result: Committed | ConditionFailed) -> None:
         if isinstance(result, Committed):
             self._apply_committed(batch, result.revision)
-            self._on_committed()
+            self._events.on_committed()
         elif LEADER in result.failed:
-            self._on_deposed("a record was refused")
+            self._events.on_deposed("the condition on the leader key failed")
             self._loop.stop()
         else:
             self._cluster.requeue(batch)
-            await self._reread_conflicts(result)
-
-    def _isolate_failing_item(self, batch: WriteBatch) -> None:
-        """Writing broke: each item is tried alone from now on, and one that breaks alone waits until it
-        changes, so that the others are written."""
-        if batch.size > 1:
-            self._single_item_batches = batch.size
-        else:
-            self._cluster.suspend_oversized_writes(batch)
-
-    def _limit_batch_size(self, batch: WriteBatch) -> None:
-        """Puts back what would make the transaction larger than the service takes: eleven full chunks of a
-        large job are twice as much, and the refusal would repeat for ever."""
-        size, kept = 0, 0
-        for write in batch.ranges:
-            size += 0 if write.value is None else len(write.value)
-            if kept and size > MAX_TRANSACTION_VALUE_BYTES:
-                break
-            kept += 1
-        back = WriteBatch(ranges=batch.ranges[kept:])
-        batch.ranges = batch.ranges[:kept]
-        if size > MAX_TRANSACTION_VALUE_BYTES // 2 and batch.done:
-            back.done, batch.done = batch.done, []
-        self._cluster.requeue(back)
-
-    def _on_too_large(self, batch: WriteBatch, reason: str) -> None:
-        """The same is never sent again. What the limit now in force makes smaller is collected anew; else
-        each item is tried alone, and one that is refused alone waits until it changes."""
-        self._rejected_contents = _batch_contents(batch)
-        limit = self._client.value_bytes
-        if limit < self._batch_value_limit and any(
-            len(value) > limit for _, value in self._rejected_contents
-        ):
-            log.info("record too large size=%d limit=%d reason=%s", batch.size, limit, reason)
-        elif batch.size > 1:
-            log.info("record too large, tried one by one size=%d reason=%s", batch.size, reason)
-            self._single_item_batches = batch.size
-        else:
-            keys = ",".join(key for key, _ in self._rejected_contents)
-            log.error("record refused as too large keys=%s reason=%s", keys, reason)
-            self._cluster.suspend_oversized_writes(batch)
-        self._cluster.requeue(batch)
-
-    async def _send_transaction(self, batch: WriteBatch) -> Committed | ConditionFailed:
-        conditions = {LEADER: self._term.mod_revision}
-        writes: list[Put | Delete] = []
-        for write in batch.ranges:
-            stored = self._mod_revisions.get(write.key, 0)
-            conditions[write.key] = stored
-            if write.job_mod_revision is not None:
-                # An abort between the placing and its record makes this fail, so nothing of an aborted job
-                # is ever recorded as placed.
-                conditions[job_key(write.job)] = write.job_mod_revision
-            if write.required_key is not None:
-                conditions[write.required_key] = self._mod_revisions.get(write.required_key, 0)
-            if write.value is not None:
-                writes.append(Put(write.key, write.value))
-            elif stored:
-                writes.append(Delete(write.key))
-        finished = self._clock.utc()
-        batch.done = [
-            (job, mod_revision, msgspec.structs.replace(record, finished=finished))
-            for job, mod_revision, record in batch.done
-        ]
-        for job, mod_revision, record in batch.done:
-            conditions[job_key(job)] = mod_revision
-            writes.append(Put(job_key(job), encode_value(record)))
-        for _, key in batch.removed:
-            conditions[key] = stored = self._mod_revisions.get(key, 0)
-            if stored:
-                writes.append(Delete(key))
-        return await self._client.compare_and_swap(
-            [Condition(key, mod_revision) for key, mod_revision in conditions.items()], writes
-        )
+            await self._read_conflicting_keys(result)
 
     def _apply_committed(self, batch: WriteBatch, revision: int) -> None:
         for write in batch.ranges:
@@ -258,15 +188,18 @@
             self._cluster.on_range_committed(write.job, write.first_task, write.version)
         for job, _, record in batch.done:
             self._cluster.on_job_recorded_done(job, revision)
-            self._observe_record(job_key(job), bytes(encode_value(record)), revision)
+            self._events.on_record_observed(job_key(job), bytes(encode_value(record)), revision)
         for _, key in batch.removed:
             self._mod_revisions.pop(key, None)
+        self._forget_finished_jobs(batch)
+
+    def _forget_finished_jobs(self, batch: WriteBatch) -> None:
         for job in batch.finished_jobs:
             self._cluster.forget_job(job)
 
-    async def _reread_conflicts(self, result: ConditionFailed) -> None:
-        """The marks we hold are not the store's: a write of ours was applied though its answer was lost, or
-        a user has aborted a job."""
+    async def _read_conflicting_keys(self, result: ConditionFailed) -> None:
+        """Reads the keys whose mod_revisions are not as expected: a write whose outcome was unknown has been
+        applied, or a user has cancelled a job."""
         for key in result.failed:
             try:
                 entry = await self._client.get(key)
@@ -277,25 +210,18 @@
                 else:
                     self._mod_revisions[key] = entry.mod_revision
             except (NotAppliedError, OutcomeUnknownError) as error:
-                log.info("mark not read key=%s reason=%s", key, error)
+                log.info("mod_revision not read key=%s reason=%s", key, error)
 
     async def _observe_job(self, key: str, entry: Entry | None) -> None:
-        """What a user has made of a job. The replica tells it too, but its watch may be held up for seconds,
-        and until then all that is in one batch with a start of the job would be refused again and again."""
+        """Applies a job's record as read from the store. The replica shows it too, but its watch may be
+        delayed by seconds, and until then every batch with a start of the job would fail its condition."""
         try:
             record = msgspec.json.decode(entry.value if entry is not None else b"null", type=JobRecord)
         except msgspec.DecodeError as error:
-            log.error("job record not understood key=%s reason=%s", key, error)
-            await sleep(self._clock, timedelta(seconds=0.05))
+            log.error("job record malformed key=%s reason=%s", key, error)
+            await sleep(self._clock, MALFORMED_RECORD_DELAY)
             return
         self._cluster.observe_job(record, entry.mod_revision)
-        self._observe_record(key, bytes(entry.value), entry.mod_revision)
+        self._events.on_record_observed(key, bytes(entry.value), entry.mod_revision)
         # There may be tasks to stop.
-        self._on_committed()
-
-
-def _batch_contents(batch: WriteBatch) -> list[tuple[str, bytes]]:
-    """What a batch would write, by key; nothing for a key that it removes."""
-    values = [(write.key, b"" if write.value is None else bytes(write.value)) for write in batch.ranges]
-    ends = [(job_key(job), bytes(encode_value(record))) for job, _, record in batch.done]
-    return values + ends + [(key, b"") for _, key in batch.removed]
+        self._events.on_committed()
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -16,7 +16,7 @@
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.attempts import WAITING
 from spindleglade.workers.messages import Command
-from spindleglade.workers.state_writer import StateWriter
+from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from spindleglade.workers.test_cluster_state import RULES, TOKEN, Harness, spec
 from spindleglade.workers.test_state_writer import Store
 from tests.deployment_config import DeploymentConfig, platform
@@ -150,9 +150,9 @@
         clock,
         Term(TOKEN, 5, 1),
         {},
-        lambda: None,
-        str,
-        lambda key, value, mod_revision: learned.append((key, mod_revision, value)),
+        StateWriterEvents(
+            lambda: None, str, lambda key, value, mod_revision: learned.append((key, mod_revision, value))
+        ),
     )
     recorder.start()
     assert bool(learned) == (fate == "ok")
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_splitting.py
@@ -19,7 +19,7 @@
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.attempts import DONE
 from spindleglade.workers.messages import Heartbeat, split_task
-from spindleglade.workers.state_writer import StateWriter
+from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
 from spindleglade.workers.test_state_writer import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
 from tests.deployment_config import DeploymentConfig, platform
@@ -155,7 +155,7 @@
     service._write([{"set": LEADER, "v": {}}])
     client = StateClient(Line(service), "", clock, limits, 1, seconds(1))
     term = Term(TOKEN, service.revision, 1)
-    recorder = StateWriter(cluster, client, clock, term, {}, lambda: None, lambda reason: None)
+    recorder = StateWriter(cluster, client, clock, term, {}, StateWriterEvents(lambda: None, str))
     recorder.start()
     clock.advance(seconds(20))
     return cluster, recorder
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -36,7 +36,7 @@
 )
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.messages import Heartbeat, TaskStatus
-from spindleglade.workers.state_writer import StateWriter
+from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
 from tests.deployment_config import DeploymentConfig, platform
 from tests.fakes.state_service import StateService
@@ -85,7 +85,9 @@
     cluster.apply_plan(
         Plan(placements=[Placement("job-1", index, "n-0000000231") for index in range(tasks)]), clock.now()
     )
-    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, deposed.append)
+    recorder = StateWriter(
+        cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, deposed.append)
+    )
     recorder.start()
     for _ in range(50):
         clock.advance(seconds(0.1))
@@ -145,7 +147,7 @@
     cluster.apply_plan(
         Plan(placements=[Placement("job-1", index, "n-1") for index in range(tasks)]), clock.now()
     )
-    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, lambda reason: None)
+    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, str))
     recorder.start()
     clock.advance(seconds(at_s))
     store.mod_revisions[job_key("job-1")] = 90
@@ -194,7 +196,7 @@
     cluster.finish_loading()
     store.mod_revisions[job_key("job-1")] = 9
     store.values[job_key("job-1")] = encode_value(JobRecord("aborted", spec(tasks=1), 256))
-    StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, lambda reason: None).start()
+    StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, str)).start()
     clock.advance(seconds(1))
     assert store.mod_revisions[job_key("job-1")] == 9 and not cluster.jobs
 
@@ -325,7 +327,12 @@
         self.cluster.finish_loading()
         self.deposed = []
         self.recorder = StateWriter(
-            self.cluster, client, self.clock, term, mod_revisions, lambda: None, self.deposed.append
+            self.cluster,
+            client,
+            self.clock,
+            term,
+            mod_revisions,
+            StateWriterEvents(lambda: None, self.deposed.append),
         )
         self.recorder.start()
 
@@ -499,7 +506,7 @@
         starts.append(Placement(name, 0, "n-1"))
     cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
     cluster.apply_plan(Plan(placements=starts), clock.now())
-    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, lambda reason: None)
+    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, str))
     recorder.start()
     clock.advance(seconds(20))
     written = {name: job.placed[0].is_recorded for name, job in cluster.jobs.items()}
--- a/spindleglade/workers/test_state_writer_errors.py
+++ b/spindleglade/workers/test_state_writer_errors.py
@@ -10,7 +10,7 @@
 from spindleglade.submissions.records import JobRecord, job_key, range_key
 from spindleglade.workers.attempts import DONE
 from spindleglade.workers.messages import Heartbeat
-from spindleglade.workers.state_writer import StateWriter
+from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
 from spindleglade.workers.test_state_writer import Store
 
@@ -69,7 +69,12 @@
     else:
         told = breaking = Breaks(lambda: None, at)
     recorder = StateWriter(
-        cluster, store, clock, Term(TOKEN, 5, 1), mod_revisions, told, deposed.append, learn
+        cluster,
+        store,
+        clock,
+        Term(TOKEN, 5, 1),
+        mod_revisions,
+        StateWriterEvents(told, deposed.append, learn),
     )
     recorder.start()
     for _ in range(100):
@@ -90,7 +95,12 @@
     store.get = Breaks(store.get, 1)
     clock, deposed = ManualClock(), []
     recorder = StateWriter(
-        cluster, store, clock, Term(TOKEN, 5, 1), mod_revisions, lambda: None, deposed.append
+        cluster,
+        store,
+        clock,
+        Term(TOKEN, 5, 1),
+        mod_revisions,
+        StateWriterEvents(lambda: None, deposed.append),
     )
     recorder.start()
     for _ in range(100):
@@ -122,7 +132,7 @@
     cluster.observe_job(JobRecord("open", spec("job-1", 1), 8), 1)
     cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
     cluster.apply_plan(Plan(placements=[Placement("job-1", 0, "n-1")]), clock.now())
-    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, lambda: None, str)
+    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, str))
     recorder.start()
     for _ in range(100):
         clock.advance(seconds(0.1))
