--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -51,7 +51,7 @@
 from spindleglade.workers.attempts import StaleTokenError, WorkerPolicy
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
 from spindleglade.workers.cluster_state import ClusterState
-from spindleglade.workers.command_dispatcher import CommandDispatcher
+from spindleglade.workers.command_dispatcher import CommandDispatcher, DispatcherEvents
 from spindleglade.workers.messages import Heartbeat, HeartbeatResponse
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 
@@ -216,8 +216,7 @@
             self._machines,
             self._clock,
             seconds(own.order_timeout_s),
-            self._on_deposed,
-            self._on_changed,
+            DispatcherEvents(self._on_deposed, self._on_changed),
             self._cancellation_freshness,
         )
         self._autoscaler = Autoscaler(
--- a/spindleglade/workers/command_dispatcher.py
+++ b/spindleglade/workers/command_dispatcher.py
@@ -1,8 +1,11 @@
-"""Sends orders straight to the machines, so that a start need not wait for the next report."""
+"""Sends commands straight to the machines, so that a start need not wait for the next heartbeat."""
 
 import logging
 from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import timedelta
+from enum import Enum, auto
+from typing import NamedTuple
 
 import msgspec
 
@@ -22,102 +25,162 @@
 
 log = logging.getLogger("spindleglade.workers")
 
+# The worker's endpoints.
+COMMANDS_PATH = "/orders"
+STATUS_PATH = "/show"
+# Statuses of a worker's response.
+OK, BAD_REQUEST, CONFLICT = 200, 400, 409
+# With these the response carries a heartbeat.
+HEARTBEAT_STATUSES = (OK, CONFLICT)
+# With these it is certain what became of the commands: accepted, or rejected as malformed or out of date.
+DEFINITE_STATUSES = (OK, BAD_REQUEST, CONFLICT)
+# A machine whose lease has expired since its latest heartbeat is in a later incarnation, and says so.
+MAX_INTRODUCTION_ATTEMPTS = 2
+
+
+class DeliveryOutcome(Enum):
+    """What became of commands sent straight to a machine."""
+
+    # The machine accepted or rejected them.
+    ANSWERED = auto()
+    # No connection was free to send them on; this says nothing about the machine.
+    NOT_SENT = auto()
+    # No connection to the machine could be opened.
+    UNREACHABLE = auto()
+    # They may be carried out, even minutes from now.
+    UNKNOWN = auto()
+
+
+class Delivery(NamedTuple):
+    """The outcome of a message to a machine, and the response if one came."""
+
+    outcome: DeliveryOutcome
+    response: ClientResponse | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class DispatcherEvents:
+    """Whom a command dispatcher tells of what the machines respond."""
+
+    # A machine knows of a later leader; called with the reason.
+    on_deposed: Callable[[str], None]
+    # The cluster state has changed by a machine's heartbeat.
+    on_changed: Callable[[], None]
+
 
 class CommandDispatcher:
+    """Sends each machine the commands that cannot wait, one message at a time."""
+
     def __init__(
         self,
         cluster: ClusterState,
         http: Requester,
         clock: Clock,
         timeout: timedelta,
-        deposed: Callable[[str], None],
-        changed: Callable[[], None],
-        bound: CancellationFreshness,
+        events: DispatcherEvents,
+        cancellation_freshness: CancellationFreshness,
     ) -> None:
+        """No task is started while `cancellation_freshness` does not permit it."""
         self._cluster = cluster
         self._http = http
         self._clock = clock
         self._timeout = timeout
-        self._on_deposed = deposed
-        self._on_changed = changed
-        self._cancellation_freshness = bound
+        self._events = events
+        self._cancellation_freshness = cancellation_freshness
         self._stopped = False
 
     def stop(self) -> None:
+        """Sends nothing more, and ignores the heartbeats in responses still to come."""
         self._stopped = True
 
     def dispatch(self) -> None:
+        """Sends all commands that cannot wait for a machine's next heartbeat."""
         if self._stopped:
             return
-        for machine, incarnation, orders in self._cluster.take_direct_commands(
+        for machine, incarnation, commands in self._cluster.take_direct_commands(
             self._clock.now(), self._cancellation_freshness.permits_renewals
         ):
-            run_in_background(self._send_commands(machine, incarnation, orders), "send")
+            run_in_background(self._send_commands(machine, incarnation, commands), "command dispatch")
 
     def introduce_leader(self, address: str, incarnation: int) -> None:
-        """Tells a machine of the new token and hears what runs there. Nothing may be ordered before, and its
-        next report may be seconds away."""
+        """Tells a machine of the new token and asks which tasks run there. It may not be sent any commands
+        before, and its next heartbeat may be seconds away."""
         if not self._stopped:
-            run_in_background(self._introduce_leader(address, incarnation), "greeting")
+            run_in_background(self._introduce_leader(address, incarnation), "leader introduction")
+
+    async def request_status(self, machine: Machine) -> None:
+        """Asks a machine for a heartbeat and applies it. Raises NoResponseError."""
+        response = await self._http.request("GET", machine.address, STATUS_PATH, None, self._timeout)
+        self._cluster.on_machine_reached(machine, self._clock.now())
+        self._apply_response(response, machine.address)
 
     async def _introduce_leader(self, address: str, incarnation: int) -> None:
-        for _ in range(2):
-            body = msgspec.json.encode(CommandBatch(self._cluster.token, incarnation, []))
+        for _ in range(MAX_INTRODUCTION_ATTEMPTS):
+            body = self._encode_commands(incarnation, [])
             try:
-                answer = await self._http.request("POST", address, "/orders", body, self._timeout)
+                response = await self._post_commands(address, body)
             except NoResponseError as error:
-                log.info("greeting unanswered address=%s reason=%s", address, error)
+                log.info("leader introduction failed address=%s reason=%s", address, error)
                 return
-            report = self._apply_response(answer, address)
-            # A machine that has lost a lease since is in a later session, and says so.
-            if report is None or answer.status == 200 or report.incarnation == incarnation:
+            heartbeat = self._apply_response(response, address)
+            if heartbeat is None or response.status == OK or heartbeat.incarnation == incarnation:
                 return
-            incarnation = report.incarnation
+            incarnation = heartbeat.incarnation
+
+    async def _send_commands(self, machine: Machine, incarnation: int, commands: list[Command]) -> None:
+        delivery = await self._deliver(machine, incarnation, commands)
+        self._cluster.on_commands_sent(
+            machine,
+            commands,
+            delivery.outcome is DeliveryOutcome.UNKNOWN,
+            self._clock.now(),
+            delivery.outcome is not DeliveryOutcome.UNREACHABLE,
+        )
+        if delivery.response is not None:
+            self._cluster.on_machine_reached(machine, self._clock.now())
+            self._apply_response(delivery.response, machine.address)
 
-    async def _send_commands(self, machine: Machine, incarnation: int, orders: list[Command]) -> None:
-        body = msgspec.json.encode(CommandBatch(self._cluster.token, incarnation, orders))
-        unsure, reached, answer = False, True, None
+    async def _deliver(self, machine: Machine, incarnation: int, commands: list[Command]) -> Delivery:
+        body = self._encode_commands(incarnation, commands)
         try:
-            answer = await self._http.request("POST", machine.address, "/orders", body, self._timeout)
+            response = await self._post_commands(machine.address, body)
         except ConnectionLimitError as error:
-            # Left to the answer of its next report, or sent again; the machine may well hear.
-            log.info("orders left to the next report machine=%s reason=%s", machine.name, error)
+            # Left to the response to its next heartbeat, or sent again.
+            log.info("commands not sent machine=%s reason=%s", machine.name, error)
+            return Delivery(DeliveryOutcome.NOT_SENT)
         except NotSentError as error:
-            reached = False
-            log.info("orders not sent machine=%s reason=%s", machine.name, error)
+            log.info("machine unreachable machine=%s reason=%s", machine.name, error)
+            return Delivery(DeliveryOutcome.UNREACHABLE)
         except NoResponseError as error:
-            # The order may be carried out minutes from now.
-            unsure = True
-            log.info("orders unanswered machine=%s orders=%d reason=%s", machine.name, len(orders), error)
+            log.info(
+                "commands unanswered machine=%s commands=%d reason=%s", machine.name, len(commands), error
+            )
+            return Delivery(DeliveryOutcome.UNKNOWN)
         except Exception:
-            # Left as they are, the orders would count as under way for ever, and never be given again.
-            unsure = True
-            log.exception("sending orders broke machine=%s", machine.name)
-        if answer is not None and answer.status not in (200, 400, 409):
-            unsure = True
-        self._cluster.on_commands_sent(machine, orders, unsure, self._clock.now(), reached)
-        if answer is not None:
-            self._cluster.on_machine_reached(machine, self._clock.now())
-            self._apply_response(answer, machine.address)
+            # Without an outcome the commands would count as in flight for ever, and never be sent again.
+            log.exception("sending commands failed machine=%s", machine.name)
+            return Delivery(DeliveryOutcome.UNKNOWN)
+        definite = response.status in DEFINITE_STATUSES
+        return Delivery(DeliveryOutcome.ANSWERED if definite else DeliveryOutcome.UNKNOWN, response)
 
-    async def request_status(self, machine: Machine) -> None:
-        """Asks a machine how it is, and takes in its report. Raises NoAnswer."""
-        answer = await self._http.request("GET", machine.address, "/show", None, self._timeout)
-        self._cluster.on_machine_reached(machine, self._clock.now())
-        self._apply_response(answer, machine.address)
+    def _encode_commands(self, incarnation: int, commands: list[Command]) -> bytes:
+        return msgspec.json.encode(CommandBatch(self._cluster.token, incarnation, commands))
+
+    async def _post_commands(self, address: str, body: bytes) -> ClientResponse:
+        return await self._http.request("POST", address, COMMANDS_PATH, body, self._timeout)
 
-    def _apply_response(self, answer: ClientResponse, address: str) -> Heartbeat | None:
-        """The report that an answer carries."""
-        if answer.status not in (200, 409) or self._stopped:
+    def _apply_response(self, response: ClientResponse, address: str) -> Heartbeat | None:
+        """Applies the heartbeat that a response carries, and returns it; None if there is none to apply."""
+        if response.status not in HEARTBEAT_STATUSES or self._stopped:
             return None
         try:
-            report = decode_heartbeat(answer.body)
-            self._cluster.on_heartbeat(report, self._clock.now(), asked=False)
+            heartbeat = decode_heartbeat(response.body)
+            self._cluster.on_heartbeat(heartbeat, self._clock.now(), asked=False)
         except msgspec.DecodeError as error:
-            log.warning("answer not understood address=%s reason=%s", address, error)
+            log.warning("response malformed address=%s reason=%s", address, error)
             return None
         except StaleTokenError as error:
-            self._on_deposed(str(error))
+            self._events.on_deposed(str(error))
             return None
-        self._on_changed()
-        return report
+        self._events.on_changed()
+        return heartbeat
--- a/spindleglade/workers/test_command_dispatcher.py
+++ b/spindleglade/workers/test_command_dispatcher.py
@@ -1,4 +1,4 @@
-"""Orders sent straight to the machines."""
+"""Commands sent straight to the machines: which are sent when, and what becomes of unanswered ones."""
 
 from datetime import timedelta
 
@@ -8,23 +8,24 @@
 from spindleglade.http.web import ConnectionLimitError, NoResponseError, NotSentError
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
-from spindleglade.workers.command_dispatcher import CommandDispatcher
+from spindleglade.workers.command_dispatcher import CommandDispatcher, DispatcherEvents
 from spindleglade.workers.messages import CommandBatch
 from spindleglade.workers.test_cluster_state import START, Harness
 
 
-def make_dispatcher(harness, http, proven=lambda: timedelta(0)):
+def make_dispatcher(harness, http, known_as_of=lambda: timedelta(0)):
     clock = ManualClock()
-    bound = CancellationFreshness(clock, seconds(17), proven)
-    return CommandDispatcher(harness.cluster, http, clock, seconds(2), str, lambda: None, bound)
+    freshness = CancellationFreshness(clock, seconds(17), known_as_of)
+    events = DispatcherEvents(str, lambda: None)
+    return CommandDispatcher(harness.cluster, http, clock, seconds(2), events, freshness)
 
 
 @pytest.mark.parametrize("error", [ConnectionLimitError, NotSentError, NoResponseError])
-def test_orders_not_sent_for_want_of_connections_make_nobody_deaf(error):
-    """They are left to the answer of the next report; the machine may well hear."""
+def test_commands_not_sent_for_lack_of_connections_make_no_machine_unreachable(error):
+    """They are left to the response to the next heartbeat; the machine may well be reachable."""
 
     class Http:
-        async def request(self, *asked):
+        async def request(self, *arguments):
             raise error("")
 
     harness = Harness()
@@ -38,7 +39,7 @@
         assert harness.report() == START
 
 
-def test_what_waits_for_its_record_is_looked_at_again_only_when_that_is_there():
+def test_a_start_is_queued_for_dispatch_again_only_once_its_placement_is_recorded():
     harness = Harness()
     harness.report()
     harness.place()
@@ -46,14 +47,14 @@
     harness.record()
     assert list(harness.cluster.dispatch_queue) == ["n-1"] and harness.direct() == START
     assert harness.direct() == [] and not harness.cluster.dispatch_queue
-    # An order that was never sent is due again.
+    # A command that was never sent is queued again.
     harness.cluster.on_commands_sent(harness.cluster.machines["n-1"], START, False, harness.now)
     assert list(harness.cluster.dispatch_queue) == ["n-1"]
 
 
-def test_a_leader_that_may_not_renew_starts_nothing_but_goes_on_stopping():
-    """Renewals were bound by the time since it last knew all cancellations; starts sent straight were not."""
-    sent, proven = [], [None]
+def test_a_leader_that_may_not_renew_leases_sends_stops_but_no_starts():
+    """A task may have been cancelled while the leader did not know all cancellations."""
+    sent, known_as_of = [], [None]
 
     class Http:
         async def request(self, method, address, path, body, timeout):
@@ -64,30 +65,30 @@
     harness.report()
     harness.place()
     harness.record()
-    dispatcher = make_dispatcher(harness, Http(), lambda: proven[0])
+    dispatcher = make_dispatcher(harness, Http(), lambda: known_as_of[0])
     dispatcher.dispatch()
     assert sent == []
     harness.cluster.jobs["job-1"].placed[0].is_confirmed = True
     harness.cluster.jobs["job-1"].placed[0].state = "running"
     harness.abort()
     dispatcher.dispatch()
-    assert [order.operation for order in sent] == ["stop"]
+    assert [command.operation for command in sent] == ["stop"]
 
 
-def test_a_start_that_was_withheld_is_sent_once_the_leader_knows_enough():
+def test_a_withheld_start_is_sent_once_starts_are_permitted():
     harness = Harness()
     harness.report()
     harness.place()
     harness.record()
     assert harness.cluster.take_direct_commands(harness.now, starts=False) == []
-    assert [orders for _, _, orders in harness.cluster.take_direct_commands(harness.now)] == [START]
+    assert [commands for _, _, commands in harness.cluster.take_direct_commands(harness.now)] == [START]
 
 
-def test_orders_whose_sending_breaks_are_not_under_way_for_ever():
-    """The machine was never sent anything again, and the start never given in the answer of a report."""
+def test_commands_whose_sending_raises_are_not_in_flight_for_ever():
+    """The machine is sent commands again, and the start comes with the response to its next heartbeat."""
 
     class Http:
-        async def request(self, *asked):
+        async def request(self, *arguments):
             raise ValueError("no request at all")
 
     harness = Harness()
