--- a/spindleglade/workers/heartbeat_relay.py
+++ b/spindleglade/workers/heartbeat_relay.py
@@ -1,59 +1,70 @@
-"""Passes workers' reports on to the leader, many in one message.
+"""Relays workers' heartbeats to the leader, many in one message.
 
-Hundreds of reports come in a second. Each alone would cost the leader a message to take in and one to answer;
-gathered for a moment they cost it little more than their reading.
+Hundreds of heartbeats arrive in a second. Relayed one by one, each would cost the leader a message to receive
+and one to send; gathered for a moment they cost it little more than their decoding.
 """
 
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
+from typing import NamedTuple
 
 from twisted.internet.defer import Deferred
 
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import Clock
 
-# A message between siblings is well below its limit with this, whatever the last report adds.
+# With this a message between controllers is well below its limit, however large the last heartbeat is.
 MAX_MESSAGE_BYTES = 256 * 1024
 
-# Takes reports to the leader and brings back its answers, in order; None if it could not be reached.
+# Takes heartbeats to the leader and returns its responses, in order; None if it could not be reached. The
+# response to a heartbeat that the leader does not renew the lease for is empty.
 SendToLeader = Callable[[list[bytes]], Awaitable[list[bytes | None] | None]]
 
 
+class PendingHeartbeat(NamedTuple):
+    """An encoded heartbeat, and who waits for the response to it."""
+
+    body: bytes
+    response: Deferred[bytes | None]
+
+
 class HeartbeatRelay:
-    def __init__(self, clock: Clock, window: timedelta, carry: SendToLeader) -> None:
+    """Gathers heartbeats for a short window, and relays them together."""
+
+    def __init__(self, clock: Clock, window: timedelta, send_to_leader: SendToLeader) -> None:
         self._clock = clock
         self._window = window
-        self._send_to_leader = carry
-        self._pending: list[tuple[bytes, Deferred[bytes | None]]] = []
+        self._send_to_leader = send_to_leader
+        self._pending: list[PendingHeartbeat] = []
         self._pending_bytes = 0
         self._timer: object | None = None
 
-    async def send(self, report: bytes) -> bytes | None:
-        """The leader's answer; nothing if there is none to be reached."""
-        waiter: Deferred[bytes | None] = Deferred()
-        self._pending.append((report, waiter))
-        self._pending_bytes += len(report)
+    async def send(self, heartbeat: bytes) -> bytes | None:
+        """The leader's response; None if it cannot be reached."""
+        response: Deferred[bytes | None] = Deferred()
+        self._pending.append(PendingHeartbeat(heartbeat, response))
+        self._pending_bytes += len(heartbeat)
         if self._pending_bytes >= MAX_MESSAGE_BYTES:
             self._flush()
         elif self._timer is None:
             self._timer = self._clock.later(self._window, self._on_window_elapsed)
-        return await waiter
+        return await response
 
     def _on_window_elapsed(self) -> None:
         self._timer = None
         self._flush()
 
     def _flush(self) -> None:
-        gathered, self._pending, self._pending_bytes = self._pending, [], 0
-        if gathered:
-            run_in_background(self._relay(gathered), "relay")
+        batch, self._pending, self._pending_bytes = self._pending, [], 0
+        if batch:
+            run_in_background(self._relay(batch), "heartbeat relay")
 
-    async def _relay(self, gathered: list[tuple[bytes, Deferred[bytes | None]]]) -> None:
-        answers = None
+    async def _relay(self, batch: list[PendingHeartbeat]) -> None:
+        responses = None
         try:
-            answers = await self._send_to_leader([report for report, _ in gathered])
+            responses = await self._send_to_leader([heartbeat.body for heartbeat in batch])
         finally:
-            if answers is None or len(answers) != len(gathered):
-                answers = [None] * len(gathered)
-            for (_, waiter), answer in zip(gathered, answers, strict=True):
-                waiter.callback(answer)
+            if responses is None or len(responses) != len(batch):
+                responses = [None] * len(batch)
+            for heartbeat, response in zip(batch, responses, strict=True):
+                heartbeat.response.callback(response)
