--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -44,10 +44,11 @@
 from spindleglade.submissions.api import UserApi
 from spindleglade.submissions.records import JOBS, LEASE_RENEWALS, PREFIX, JobRecord, job_key
 from spindleglade.submissions.views import JobViews
-from spindleglade.workers.api import WorkerApi
+from spindleglade.workers.api import LeaderAccess, WorkerApi
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
-from spindleglade.workers.heartbeat_balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
+from spindleglade.workers.heartbeat_balancer import ControllerLoad, HeartbeatBalancer
 from spindleglade.workers.heartbeat_relay import HeartbeatRelay
+from spindleglade.workers.isolation_detector import IsolationDetector
 from spindleglade.workers.messages import Heartbeat, HeartbeatResponse, decode_heartbeat
 
 log = logging.getLogger("spindleglade")
@@ -214,9 +215,11 @@
             clock,
             self.views,
             self._cancellation_freshness,
-            self._handle_as_leader,
-            lambda: self.is_leader,
-            HeartbeatRelay(clock, seconds(settings.workers.relay_window_s), self._relay_heartbeats).send,
+            LeaderAccess(
+                self._handle_as_leader,
+                lambda: self.is_leader,
+                HeartbeatRelay(clock, seconds(settings.workers.relay_window_s), self._relay_heartbeats).send,
+            ),
             self.election.observe_token,
             self._balancer,
             IsolationDetector(clock, platform.zone, workers.lease, lambda: self._monitor.isolated_since),
--- a/spindleglade/workers/heartbeat_balancer.py
+++ b/spindleglade/workers/heartbeat_balancer.py
@@ -1,43 +1,62 @@
-"""Which workers report where: their reports are most of a deployment's traffic, and after a restart all of a
-node's workers would stay with the others for good.
+"""Evens out which controllers the workers send their heartbeats to.
 
-A node that has more than its share sends a few of them on to a sibling that has less, by a 421 that names
-it. The leader has enough else to do, so its share is smaller. Nothing is moved while a sibling is away or has
-only just come back: a worker sent to a node that it cannot reach loses some seconds of its lease.
+Heartbeats are most of a deployment's traffic, and after a restart all of a controller's workers would stay
+with its peers for good. A controller that has more than its share redirects a few workers to a peer that has
+less. The leader has enough else to do, so its share is smaller. Nobody is redirected while a peer is away or
+has only just come back: a worker redirected to a controller that it cannot reach loses seconds of its lease.
 """
 
-from collections.abc import Callable
 from datetime import timedelta
 from typing import NamedTuple
 
 from spindleglade.runtime.clock import Clock
 
+# The leader's share of the workers, where that of each other controller is one.
 LEADER_WEIGHT = 0.5
-# Workers moved for each word from a sibling.
-MAX_MOVES = 8
+# Workers redirected at most before the loads are compared again.
+MAX_REDIRECTS = 8
+# A smaller excess of workers is not worth a redirect: so many, and so much of the controller's own.
+MIN_EXCESS_WORKERS = 3
+MIN_EXCESS_SHARE = 0.1
+# A worker counts as the controller's own for so many heartbeat intervals after its latest heartbeat.
+RECENT_HEARTBEAT_INTERVALS = 2
+# For how long a worker that was redirected and came back is not redirected again.
+REDIRECT_BACKOFF = timedelta(minutes=2)
 
 
 class ControllerLoad(NamedTuple):
+    """How many workers send their heartbeats to a controller."""
+
     controller: str
     workers: int
-    leads: bool
+    is_leader: bool
+
+    @property
+    def weight(self) -> float:
+        """The controller's share in relation to that of others."""
+        return LEADER_WEIGHT if self.is_leader else 1.0
 
 
 class HeartbeatBalancer:
-    def __init__(self, clock: Clock, report: timedelta, siblings: int, steady: timedelta) -> None:
+    """Decides which workers are redirected to which peer."""
+
+    def __init__(
+        self, clock: Clock, heartbeat_interval: timedelta, peer_count: int, stable_period: timedelta
+    ) -> None:
+        """Redirects only once all peers have been there for `stable_period`."""
         self._clock = clock
-        self._recent_period = report * 2
-        self._peer_count = siblings
-        self._stable_period = steady
-        # Workers that report here, and when they last did.
+        self._recent_period = heartbeat_interval * RECENT_HEARTBEAT_INTERVALS
+        self._peer_count = peer_count
+        self._stable_period = stable_period
         self._last_heartbeats: dict[str, timedelta] = {}
-        # Those sent on; one that is back soon is left in peace.
         self._redirected_at: dict[str, timedelta] = {}
-        self._moves: dict[str, int] = {}
+        # How many workers are still to be redirected to each peer.
+        self._pending_redirects: dict[str, int] = {}
         self._all_peers_since: timedelta | None = None
 
     @property
     def workers(self) -> int:
+        """How many workers send their heartbeats here."""
         now = self._clock.now()
         self._last_heartbeats = {
             name: at for name, at in self._last_heartbeats.items() if now - at <= self._recent_period
@@ -45,80 +64,49 @@
         return len(self._last_heartbeats)
 
     def on_heartbeat(self, worker: str) -> None:
+        """A worker that is not redirected has sent a heartbeat."""
         self._last_heartbeats[worker] = self._clock.now()
 
-    def rebalance(self, own: ControllerLoad, others: list[ControllerLoad]) -> None:
-        """What the siblings last said of themselves; only those that serve."""
-        now = self._clock.now()
-        self._moves = {}
-        if len(others) < self._peer_count:
-            self._all_peers_since = None
-            return
-        self._all_peers_since = self._all_peers_since or now
-        if now - self._all_peers_since < self._stable_period:
+    def rebalance(self, own: ControllerLoad, peers: list[ControllerLoad]) -> None:
+        """Decides anew how many workers are redirected, by the latest loads of the peers that serve."""
+        self._pending_redirects = {}
+        if not self._peers_are_stable(len(peers)):
             return
-        loads = [own, *others]
-        weights = {load.controller: LEADER_WEIGHT if load.leads else 1.0 for load in loads}
-        each = sum(load.workers for load in loads) / sum(weights.values())
-        excess = own.workers - each * weights[own.controller]
-        # A small difference is not worth a move.
-        if excess < 3 + 0.1 * own.workers:
+        loads = [own, *peers]
+        workers_per_weight = sum(load.workers for load in loads) / sum(load.weight for load in loads)
+        excess = own.workers - workers_per_weight * own.weight
+        if excess < MIN_EXCESS_WORKERS + MIN_EXCESS_SHARE * own.workers:
             return
-        room = MAX_MOVES
-        for load in others:
-            lacks = each * weights[load.controller] - load.workers
-            count = min(room, int(lacks), int(excess))
+        remaining = MAX_REDIRECTS
+        for load in peers:
+            deficit = workers_per_weight * load.weight - load.workers
+            count = min(remaining, int(deficit), int(excess))
             if count > 0:
-                self._moves[load.controller] = count
-                room -= count
+                self._pending_redirects[load.controller] = count
+                remaining -= count
                 excess -= count
 
     def redirect_target(self, worker: str) -> str | None:
-        """The sibling that this worker should report to instead, if any."""
-        if not self._moves:
+        """The peer to which this worker is redirected now, if any."""
+        if not self._pending_redirects:
             return None
         now = self._clock.now()
-        sent = self._redirected_at.get(worker)
-        if sent is not None and now - sent < timedelta(minutes=2):
+        redirected_at = self._redirected_at.get(worker)
+        if redirected_at is not None and now - redirected_at < REDIRECT_BACKOFF:
             return None
-        node = next(iter(self._moves))
-        self._moves[node] -= 1
-        if not self._moves[node]:
-            del self._moves[node]
+        target = next(iter(self._pending_redirects))
+        self._pending_redirects[target] -= 1
+        if not self._pending_redirects[target]:
+            del self._pending_redirects[target]
         self._redirected_at[worker] = now
         self._last_heartbeats.pop(worker, None)
-        return node
-
-
-class IsolationDetector:
-    """Tells a node that has lost the store and all siblings whether the workers should look elsewhere.
+        return target
 
-    It may renew their leases by itself, but it has no orders for them. If only this node is cut off, every
-    other one serves them better; if their whole zone is, there is no other. Workers of other zones that still
-    reach this node show that it is the node. One that was sent on and comes back found nobody, and is kept.
-    """
-
-    def __init__(
-        self, clock: Clock, zone: str, lease: timedelta, alone_since: Callable[[], timedelta | None]
-    ):
-        self._clock = clock
-        self._zone = zone
-        self._lease = lease
-        self._isolated_since = alone_since
-        self._other_zone_heard_at: timedelta | None = None
-        self._redirected_at: dict[str, timedelta] = {}
-
-    def should_redirect(self, worker: str, zone: str) -> bool:
-        since, now = self._isolated_since(), self._clock.now()
-        if since is None:
-            self._redirected_at.clear()
-            return False
-        if zone != self._zone:
-            self._other_zone_heard_at = now
-        if self._other_zone_heard_at is None or self._other_zone_heard_at < since:
-            return False
-        sent = self._redirected_at.get(worker)
-        if sent is not None and now - sent < self._lease * 2:
+    def _peers_are_stable(self, serving_peers: int) -> bool:
+        """Whether all peers have been serving for long enough."""
+        if serving_peers < self._peer_count:
+            self._all_peers_since = None
             return False
-        self._redirected_at[worker] = now
-        return True
+        now = self._clock.now()
+        self._all_peers_since = self._all_peers_since or now
+        return now - self._all_peers_since >= self._stable_period
--- a/spindleglade/workers/test_heartbeats.py
+++ b/spindleglade/workers/test_heartbeats.py
@@ -12,10 +12,11 @@
 from spindleglade.store.client import encode_value
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, job_key, range_key
 from spindleglade.submissions.views import JobViews
-from spindleglade.workers.api import WorkerApi
+from spindleglade.workers.api import LeaderAccess, WorkerApi
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
-from spindleglade.workers.heartbeat_balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
+from spindleglade.workers.heartbeat_balancer import ControllerLoad, HeartbeatBalancer
 from spindleglade.workers.heartbeat_relay import HeartbeatRelay
+from spindleglade.workers.isolation_detector import IsolationDetector
 from spindleglade.workers.messages import Heartbeat, decode_heartbeat
 from spindleglade.workers.test_cluster_state import spec
 
@@ -38,9 +39,7 @@
             self.clock,
             self.views,
             CancellationFreshness(self.clock, seconds(17), lambda: self.proven),
-            lambda report: None,
-            lambda: False,
-            relay,
+            LeaderAccess(lambda heartbeat: None, lambda: False, relay),
             lambda token: None,
             HeartbeatBalancer(self.clock, REPORT, 2, LEASE),
             IsolationDetector(self.clock, zone, LEASE, lambda: self.since),
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -43,9 +43,10 @@
 from spindleglade.submissions.job_view import JobView
 from spindleglade.submissions.task_ranges import TaskRanges
 from spindleglade.workers import messages as workers
-from spindleglade.workers.api import WorkerApi
+from spindleglade.workers.api import LeaderAccess, WorkerApi
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
-from spindleglade.workers.heartbeat_balancer import ControllerLoad, HeartbeatBalancer, IsolationDetector
+from spindleglade.workers.heartbeat_balancer import ControllerLoad, HeartbeatBalancer
+from spindleglade.workers.isolation_detector import IsolationDetector
 
 
 class Form(NamedTuple):
@@ -246,9 +247,7 @@
         clock,
         views.JobViews(),
         CancellationFreshness(clock, ONE_SECOND, lambda: None),
-        lambda report: answer,
-        lambda: lead,
-        no_sibling,
+        LeaderAccess(lambda report: answer, lambda: lead, no_sibling),
         lambda token: None,
         balancer,
         IsolationDetector(clock, "north", ONE_SECOND, lambda: None),
