--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -1,4 +1,4 @@
-"""The recorder against a store that answers, loses answers and refuses."""
+"""The state writer against a store that commits, loses responses and rejects."""
 
 import msgspec
 import pytest
@@ -43,7 +43,7 @@
 
 
 class Store:
-    """Keeps marks and checks sizes; `fates` says what becomes of each transaction in turn."""
+    """Keeps mod_revisions and checks sizes; `fates` says what becomes of each transaction in turn."""
 
     def __init__(self, fates=()):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
@@ -76,8 +76,8 @@
         return Entry(key, value, self.mod_revisions[key]) if key in self.mod_revisions else None
 
 
-def record(store, tasks):
-    """A cluster with that many tasks placed, and a recorder that has been given time."""
+def write_placements(store, tasks):
+    """A cluster with that many tasks placed, after its writer has been given time."""
     cluster, clock, deposed = make_cluster(), ManualClock(), []
     cluster.teams = {}
     cluster.observe_job(JobRecord("open", spec(tasks=tasks), 256), 1)
@@ -85,61 +85,62 @@
     cluster.apply_plan(
         Plan(placements=[Placement("job-1", index, "n-0000000231") for index in range(tasks)]), clock.now()
     )
-    recorder = StateWriter(
+    writer = StateWriter(
         cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, deposed.append)
     )
-    recorder.start()
+    writer.start()
     for _ in range(50):
         clock.advance(seconds(0.1))
     return cluster, deposed
 
 
 def recorded(cluster):
-    return sum(assignment.is_recorded for assignment in cluster.jobs["job-1"].placed.values())
+    """How many attempts are recorded."""
+    return sum(attempt.is_recorded for attempt in cluster.jobs["job-1"].placed.values())
 
 
-def test_a_transaction_stays_within_the_services_size():
-    """Eleven full chunks are more than the 64 KiB of a transaction; the refusal repeated for ever."""
+def test_a_transaction_stays_within_the_size_that_the_store_accepts():
+    """Eleven full task ranges are more than the 64 KiB of a transaction, and would be rejected for ever."""
     store = Store()
-    cluster, _ = record(store, 6000)
+    cluster, _ = write_placements(store, 6000)
     assert recorded(cluster) == 6000 and len(store.sizes) > 2
 
 
 @pytest.mark.parametrize(
     "fates", [["refused"], ["answer lost"], ["refused", "answer lost", "refused"], ["answer lost"] * 3]
 )
-def test_what_was_lost_is_recorded_in_the_end(fates):
+def test_writes_that_failed_are_committed_in_the_end(fates):
     store = Store(fates)
-    cluster, deposed = record(store, 3)
+    cluster, deposed = write_placements(store, 3)
     assert recorded(cluster) == 3 and not deposed and range_key("job-1", 0) in store.mod_revisions
 
 
-def test_nothing_of_an_aborted_job_is_recorded_as_placed():
+def test_no_task_of_a_cancelled_job_is_recorded_as_placed():
     store = Store()
     store.mod_revisions[job_key("job-1")] = 9
-    cluster, deposed = record(store, 3)
+    cluster, deposed = write_placements(store, 3)
     assert recorded(cluster) == 0 and not deposed and range_key("job-1", 0) not in store.mod_revisions
 
 
 def test_a_deposed_leader_writes_nothing():
     store = Store()
     store.mod_revisions[LEADER] = 6
-    cluster, deposed = record(store, 3)
+    cluster, deposed = write_placements(store, 3)
     assert recorded(cluster) == 0 and deposed and range_key("job-1", 0) not in store.mod_revisions
 
 
-def test_a_refused_job_record_is_read_not_waited_for():
-    """Every batch with a start of the job was refused until the replica told of the abort: with a watch held
-    up for seconds, no start of any job was recorded."""
+def test_a_job_record_in_conflict_is_read_without_waiting_for_the_watch():
+    """Else every batch with a start of the job fails its conditions until the replica shows the cancellation:
+    with a watch delayed by seconds, no start of any job is recorded."""
     store = Store()
     store.mod_revisions[job_key("job-1")] = 9
     store.values[job_key("job-1")] = encode_value(JobRecord("aborted", spec(tasks=3), 256))
-    cluster, deposed = record(store, 3)
+    cluster, deposed = write_placements(store, 3)
     assert "job-1" not in cluster.jobs and not deposed and len(store.sizes) == 1
 
 
-def aborted(store, tasks, at_s):
-    """What is left of a job's chunks in the store; it is aborted at that time, and its machine gone."""
+def ranges_left_after_cancellation(store, tasks, at_s):
+    """The task ranges in the store of a job that is cancelled at that time, and its machine terminated."""
     cluster, clock = make_cluster(), ManualClock()
     cluster.teams = {}
     cluster.observe_job(JobRecord("open", spec(tasks=tasks), 256), 1)
@@ -147,31 +148,31 @@
     cluster.apply_plan(
         Plan(placements=[Placement("job-1", index, "n-1") for index in range(tasks)]), clock.now()
     )
-    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, str))
-    recorder.start()
+    writer = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, str))
+    writer.start()
     clock.advance(seconds(at_s))
     store.mod_revisions[job_key("job-1")] = 90
     store.values[job_key("job-1")] = encode_value(JobRecord("aborted", spec(tasks=tasks), 256))
     cluster.observe_job(JobRecord("aborted", spec(tasks=tasks), 256), 90)
     cluster.on_machine_terminated("n-1", "test")
-    recorder.wake()
+    writer.wake()
     for _ in range(50):
         clock.advance(seconds(0.1))
-        recorder.wake()
+        writer.wake()
     assert not cluster.jobs
     return [key for key in store.mod_revisions if key.startswith(TASK_RANGES)]
 
 
-def test_a_chunk_whose_write_had_no_answer_is_not_left_behind_by_an_abort():
-    """The recorder took it for not written, and it stayed for good: a placement of a cancelled job, which
-    nobody was to renew a lease for, and which the next leader counted against its team's limit."""
-    assert aborted(Store(["answer lost"]), 3, 0.1) == []
-    assert aborted(Store(["refused"]), 3, 0.1) == []
-    assert aborted(Store(), 3, 1) == []
+def test_a_cancellation_removes_a_range_whose_write_has_an_unknown_outcome():
+    """Else it stays for good: a placement of a cancelled job, for which no lease may be renewed, and which
+    the next leader counts against its team's limit."""
+    assert ranges_left_after_cancellation(Store(["answer lost"]), 3, 0.1) == []
+    assert ranges_left_after_cancellation(Store(["refused"]), 3, 0.1) == []
+    assert ranges_left_after_cancellation(Store(), 3, 1) == []
 
 
-def test_each_chunk_of_a_job_that_is_over_is_removed_once():
-    """Each of its chunks asked for the removal of all: three chunks were nine changes of the store."""
+def test_each_range_of_a_finished_job_is_removed_once():
+    """Each of its ranges requests the removal of all: three ranges must not be nine changes."""
     store, removed = Store(), []
     carry = store.compare_and_swap
 
@@ -183,12 +184,12 @@
         return await carry(conditions, writes, urgent)
 
     store.compare_and_swap = compare_and_swap
-    assert aborted(store, 600, 1) == []
+    assert ranges_left_after_cancellation(store, 600, 1) == []
     assert len(removed) == 3
 
 
-def test_an_abort_at_the_end_of_the_last_task_is_not_written_over():
-    """The user was told that the job is cancelled; the leader has just seen its last task done."""
+def test_a_cancellation_at_the_end_of_the_last_task_is_not_overwritten():
+    """The cancellation is confirmed to the user when the leader has just seen the last task done."""
     store = Store()
     cluster, clock = make_cluster(), ManualClock()
     cluster.observe_job(JobRecord("open", spec(tasks=1), 256), 1)
@@ -201,8 +202,8 @@
     assert store.mod_revisions[job_key("job-1")] == 9 and not cluster.jobs
 
 
-def finished_elsewhere():
-    """A cluster with a start that waits for its record while the record says that the job is done."""
+def cluster_with_start_of_a_done_job():
+    """A cluster with a placement that is not recorded yet, of a job whose record says that it is done."""
     cluster, clock = make_cluster(), ManualClock()
     cluster.teams = {}
     cluster.observe_job(JobRecord("open", spec(tasks=1), 256), 1)
@@ -212,16 +213,16 @@
     return cluster
 
 
-def test_a_start_of_a_job_that_is_done_keeps_no_room():
-    """An old record of a job that is over, told late by the replica, opens it again until the newer comes.
-    What was placed meanwhile is never recorded or sent, and held its room and its team's limit for good."""
-    cluster = finished_elsewhere()
+def test_a_placement_of_a_job_that_is_done_reserves_no_capacity():
+    """An old record of a finished job, shown late by the replica, opens it again until the newer one comes.
+    What is placed meanwhile is never recorded or sent, and must not count against the machine or the team."""
+    cluster = cluster_with_start_of_a_done_job()
     assert not cluster.machines["n-0000000231"].placed
     batch = cluster.collect_writes(9, {})
     assert batch.size == 0 and list(batch.finished_jobs) == ["job-1"]
 
 
-def test_an_abort_told_after_the_job_was_forgotten_is_forgotten_too():
+def test_a_cancellation_seen_after_the_job_was_forgotten_is_forgotten_too():
     cluster = make_cluster()
     cluster.observe_job(JobRecord("aborted", spec(tasks=1), 256), 4)
     assert list(cluster.collect_writes(9, {}).finished_jobs) == ["job-1"]
@@ -229,9 +230,9 @@
     assert not cluster.jobs
 
 
-class Line:
-    """The way of one leader's requests to the state service, each with a fate drawn beforehand: answered,
-    answered slowly, refused, carried out but not answered, or neither, and carried out when it lands."""
+class UnreliableConnection:
+    """Carries one leader's requests to the state service, each with a fate drawn beforehand: answered,
+    answered slowly, rejected, applied without a response, or delayed without a response and applied later."""
 
     def __init__(self, story):
         self.story = story
@@ -247,7 +248,7 @@
             raise NoResponseError("timed out")
         answer = ClientResponse(*story.service.handle(method, path, body or b""))
         if answer.status == 400:
-            # By each process: it does not know what the one before was refused.
+            # Checked for each leader: it does not know what was rejected for the one before.
             refused = (story.token, msgspec.json.encode(msgspec.json.decode(body)["writes"]))
             assert refused not in story.too_large, "repeated unchanged"
             story.too_large.append(refused)
@@ -268,9 +269,9 @@
 
 
 class RecordsStory(RuleBasedStateMachine):
-    """Leaders that follow one another, their recorders, a state service that answers late, never or not the
-    leader, users who abort, and workers who do as they are told. However it goes: a task is on one machine at
-    most, final records stay, done is only what is done, and in the end all is done, and nothing left over."""
+    """Successive leaders with their writers, a state service whose responses are late, lost or rejections,
+    users who cancel, and workers who carry out their commands. Whatever their order, a task is on one machine
+    at most, final records stay and are true, and in the end all jobs are final, and no range is left."""
 
     SIZES = {"job-1": 5, "job-2": 1}
     CHUNK = 2
@@ -288,7 +289,7 @@
         self.tallies = dict.fromkeys(self.machines, 0)
         self.tokens = dict.fromkeys(self.machines, 0)
         self.done, self.given, self.final = set(), {}, {}
-        self.token, self.recorder = 0, None
+        self.token, self.writer = 0, None
         for job, tasks in self.SIZES.items():
             self.write(job_key(job), JobRecord("open", spec(job, tasks), self.CHUNK))
         self.lead()
@@ -306,12 +307,12 @@
         ]
 
     def lead(self):
-        if self.recorder is not None:
-            self.recorder.stop()
+        if self.writer is not None:
+            self.writer.stop()
         self.token += 1
         self.write(LEADER, {})
         term = Term(self.token, self.service.revision, 1)
-        client = StateClient(Line(self), "", self.clock, self.LIMITS, 1, seconds(1))
+        client = StateClient(UnreliableConnection(self), "", self.clock, self.LIMITS, 1, seconds(1))
         leader = Leader(
             term,
             platform(0, DeploymentConfig()),
@@ -326,7 +327,7 @@
         mod_revisions = leader._load_records(self.cluster, self.entries(), self.clock.now())
         self.cluster.finish_loading()
         self.deposed = []
-        self.recorder = StateWriter(
+        self.writer = StateWriter(
             self.cluster,
             client,
             self.clock,
@@ -334,11 +335,11 @@
             mod_revisions,
             StateWriterEvents(lambda: None, self.deposed.append),
         )
-        self.recorder.start()
+        self.writer.start()
 
     @rule(length=st.sampled_from([0.01, 0.2, 0.7, 2.0]))
     def wait(self, length):
-        self.recorder.wake()
+        self.writer.wake()
         self.clock.advance(seconds(length))
 
     @rule(at=st.integers(0, 3))
@@ -348,13 +349,13 @@
 
     @rule(most=st.integers(1, 4))
     def tell(self, most):
-        """What the replica shows next; it may be behind what the leader has read."""
+        """Shows the next changes by the replica, which may be behind what the leader has read."""
         changes = [change for change in self.service.log if change.get("set", "").startswith(JOBS)]
         for change in changes[self.told : self.told + most]:
             record = msgspec.convert(change["v"], JobRecord)
             self.cluster.observe_job(record, change["mark"], self.clock.now())
             self.told += 1
-        self.recorder.wake()
+        self.writer.wake()
 
     @rule(machine=ANY_MACHINE)
     def report(self, machine):
@@ -376,11 +377,11 @@
             elif order.operation == "clear" and key in there:
                 assert there[key][0] == "exited"
                 del there[key]
-        self.recorder.wake()
+        self.writer.wake()
 
     @rule(job=ANY_JOB, indices=INDICES, to=ANY_MACHINE, fates=FATES)
     def place(self, job, indices, to, fates):
-        # The first report may be the one by which the machine hears of this leader.
+        # The response to the first heartbeat may be the one by which the machine learns the new token.
         self.report(to)
         self.report(to)
         self.fates = fates
@@ -461,7 +462,7 @@
                 )
                 end = job.ranges.end(first)
                 if job.ranges.is_overflow(first) or job.ranges.is_overflow(end):
-                    # What lies beyond the next part's start is stale; a part stays though it is empty.
+                    # What lies beyond the next overflow range's start is stale; that stays though empty.
                     assert (chunk or TaskRangeRecord()).restricted_to(first, end) == (
                         job.encode_range(first) or TaskRangeRecord()
                     )
@@ -475,7 +476,7 @@
                 self.tasks_end(machine, [], self.AT_ONCE)
             self.settle()
             self.what_is_final_stays_and_is_true()
-        # A record of a job that was over before may have come late; whoever leads next clears it away.
+        # A record of a finished job may have come late; the next leader removes what is left of it.
         self.lead()
         self.settle()
         assert self.final.keys() == self.SIZES.keys() and not self.cluster.jobs
@@ -487,8 +488,8 @@
 TestRecordsStory.settings = settings(max_examples=300, stateful_step_count=100)
 
 
-def test_what_breaks_the_writing_is_set_aside_and_the_rest_is_written():
-    """One batch that broke the recorder used to end it, and with it every start of every job."""
+def test_a_write_that_raises_is_suspended_and_the_rest_is_written():
+    """One batch that raises must not end the writer, and with it every start of every job."""
 
     class Breaks(Store):
         async def compare_and_swap(self, conditions, writes, urgent=False):
@@ -506,9 +507,9 @@
         starts.append(Placement(name, 0, "n-1"))
     cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
     cluster.apply_plan(Plan(placements=starts), clock.now())
-    recorder = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, str))
-    recorder.start()
+    writer = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, str))
+    writer.start()
     clock.advance(seconds(20))
     written = {name: job.placed[0].is_recorded for name, job in cluster.jobs.items()}
     assert written == {"job-1": False, "job-2": True, "job-3": True}
-    assert recorder.stall_reason is None
+    assert writer.stall_reason is None
