--- a/spindleglade/settings/operator.py
+++ b/spindleglade/settings/operator.py
@@ -1,4 +1,4 @@
-"""The operators' own settings, in HCL. Every field has a default; unknown fields are refused.
+"""The operators' own settings, in HCL. Every field has a default; unknown fields are errors.
 
 backfill {
   tau = 0.05
@@ -13,101 +13,116 @@
 
 import msgspec
 
-from spindleglade.settings.platform import explain
-from spindleglade.settings.problem import SettingsError
+from spindleglade.settings.errors import WHOLE_FILE, SettingsError
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=86400)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
+# Keys that the HCL parser adds by itself begin with this.
+PARSER_KEY_PREFIX = "__"
 
 
 class BackfillSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The rule by which a waiting job passes the reserved one."""
+    """Planning: which waiting jobs start before the one that has a reservation."""
 
-    # Chance of delaying the reserved job below which another may pass it (paper, section 5).
+    # Probability of delaying the reserved job below which another may start before it (paper, section 5).
     tau: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.05
-    # Growth of the run-time bins (paper, section 3) and the end of the first one.
+    # Growth factor of the run-time bins (paper, section 3) and the upper end of the first one.
     bin_factor: Annotated[float, msgspec.Meta(gt=1, le=10)] = 1.8
     first_bin_s: Seconds = 1.0
-    # Runs a team needs before its distribution is used instead of its estimates, and how many are kept.
+    # Runs that a team needs before its distribution replaces its estimates, and how many are kept.
     history_runs: Count = 200
     history_kept: Count = 2000
     # "distributions" is the design; "estimates" is plain EASY, kept for comparison.
     predictor: Literal["distributions", "estimates"] = "distributions"
-    # For whom running work is stopped: nobody; higher priorities, but only work that can save what it has
-    # done, and idle-time work; teams that claim their guarantee; or both these and higher priorities,
-    # whatever work it is.
+    # For whom running tasks are preempted: nobody; higher priorities, but only tasks that save their work and
+    # best-effort ones; teams that claim their guarantee; or both teams and higher priorities, any task.
     preempt: Literal["none", "saving", "guarantees", "all"] = "saving"
-    # How long a job may go without a start before some of its tasks go before all others and room is held for
-    # them. Well under the four minutes within which even the largest shall begin.
+    # How long a job may go without a start before it is overdue: some of its tasks start before all others,
+    # and capacity is reserved for them. Well under the four minutes within which even the largest must begin.
     overdue_s: Seconds = 120.0
-    # Shortest time between two planning rounds.
+    # Shortest time between two planning passes.
     round_s: Seconds = 0.1
 
 
 class WorkerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    # How long past its lease a silent machine is waited for before it is given up.
+    """Heartbeats, leases and commands of the workers, and tasks that fail."""
+
+    # How long after the end of its lease a silent machine is given up.
     silence_margin_s: Seconds = 1.0
-    # Reports that a machine which does not answer either must have missed to be given up earlier.
+    # Heartbeats that a machine which does not respond either must have missed to be given up earlier.
     silent_reports: Seconds = 3.5
-    # Kept free between the last renewal a node may give unconfirmed and the end of a cancellation.
+    # Margin between the end of the last lease that a controller renews on old knowledge of cancellations and
+    # the time within which a cancellation takes effect.
     cancel_margin_s: Seconds = 3.0
-    # How long an order sent straight to a machine may go unanswered.
+    # Timeout of a command sent straight to a machine.
     order_timeout_s: Seconds = 2.0
-    # How long a follower waits for the leader before it renews a lease by itself.
+    # Timeout of a relayed heartbeat, after which a follower may renew the lease without the leader.
     relay_timeout_s: Seconds = 1.0
-    # For how long a follower gathers reports before it passes them on.
+    # For how long a follower gathers heartbeats before it relays them.
     relay_window_s: Seconds = 0.02
-    # Jobs that must have failed on a machine before it is given back as faulty.
+    # Jobs that must have failed on a machine before it is terminated as faulty.
     faulty_jobs: Count = 2
-    # First pause of a job that fails on several machines, doubled each time up to the second figure. After it
-    # one task at a time is tried until one has run for longer than the pause, or is done.
+    # First backoff of a job that fails on several machines, doubled each time up to the second figure. After
+    # it one task at a time is tried until one has run for longer than the backoff, or is done.
     backoff_s: Seconds = 5.0
     backoff_most_s: Seconds = 60.0
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    # How long a machine may stand idle before it is given back; the last where an aim of the deployment says
-    # that work has to start sooner than a machine boots, while there is work at all.
+    """Provisioning and terminating machines."""
+
+    # How long a machine may be idle before it is terminated. The last applies, while there is work at all,
+    # where an objective of the deployment wants tasks to start sooner than a machine boots.
     idle_s: Seconds = 15.0
-    # An ordinary machine where spot ones are preferred.
+    # An on-demand machine where spot ones are preferred.
     idle_ordinary_s: Seconds = 5.0
     idle_ready_s: Seconds = 300.0
-    # Share of the teams' unused guarantees for which machines are kept up, where an aim says how soon work
-    # has to start.
+    # Share of the teams' unused guarantees for which machines are kept running, where an objective says how
+    # soon tasks have to start.
     hold_guarantees: Annotated[float, msgspec.Meta(ge=0, le=10)] = 1.0
-    # A machine that has not reported after this many times its nominal boot time is given up.
+    # A machine without a heartbeat after this many times its nominal boot time is given up.
     boot_patience: Annotated[float, msgspec.Meta(ge=1, le=100)] = 2.5
-    # First pause after a refusal for lack of capacity, doubled each time up to the second figure. It ends
-    # when a machine of that kind is given back.
+    # First backoff after the cloud had no capacity, doubled each time up to the second figure. It ends when a
+    # machine of that type is terminated.
     refused_s: Seconds = 4.0
     refused_most_s: Seconds = 30.0
+    # Time between two requests of the list of machines, and of machine types.
     list_s: Seconds = 4.0
     types_s: Seconds = 30.0
-    # How long a job must have waited before ordinary machines are rented for it though it may use spot ones.
-    # For idle-time work none are.
+    # How long a job must have waited before on-demand machines are provisioned for it though it may use spot
+    # ones. For best-effort jobs none are.
     ordinary_wait_s: Seconds = 600.0
-    # The same while no spot machine is there or on its way, so that work begins at all.
+    # The same while no spot machine is running or booting, so that the job starts at all.
     no_spot_wait_s: Seconds = 20.0
 
 
 class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    # Longest time between two proofs that a node's replica is current.
+    """Requests to the state service."""
+
+    # Longest time between two catch-ups of a controller's replica with the state service.
     confirm_s: Seconds = 1.0
+    # How long a watch waits for changes, and how long any other request may take.
     watch_s: Seconds = 15.0
     timeout_s: Seconds = 1.5
 
 
 class LeadershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The leader's lease, and the pings between controllers."""
+
     lease_s: Seconds = 4.0
     ping_s: Seconds = 0.5
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    # Used where the variable LOG_LEVEL is not set.
+    """What is logged."""
+
+    # Used where the environment variable LOG_LEVEL is not set.
     level: Literal["error", "info", "debug"] = "info"
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The whole file, a field for each block."""
+
     backfill: BackfillSettings = BackfillSettings()
     workers: WorkerSettings = WorkerSettings()
     fleet: FleetSettings = FleetSettings()
@@ -117,42 +132,54 @@
 
 
 def parse_operator(file: str, text: str) -> OperatorSettings:
-    # Imported only here: most nodes run on the defaults, and the parser costs start-up time and memory.
-    import hcl2
-
-    try:
-        parsed: dict[str, Any] = hcl2.loads(text)
-    except Exception as error:  # the parser raises its grammar library's own types
-        line = getattr(error, "line", None)
-        where = f"line {line}" if isinstance(line, int) and line > 0 else "(whole file)"
-        raise SettingsError(file, where, "not valid HCL") from None
-    sections: dict[str, Any] = {}
-    for name, blocks in parsed.items():
-        if name.startswith("__"):
-            continue
-        if not isinstance(blocks, list):
-            raise SettingsError(file, name, "must be a block")
-        if len(blocks) != 1:
-            raise SettingsError(file, name, "block given more than once")
-        block = blocks[0]
-        if not isinstance(block, dict):
-            raise SettingsError(file, name, "must be a block")
-        sections[name] = {
-            key: value.strip('"') if isinstance(value, str) else value
-            for key, value in block.items()
-            if not key.startswith("__")
-        }
+    """Parses the operators' settings; `file` is named in errors. Raises SettingsError."""
+    blocks_by_name = _parse_hcl(file, text)
+    sections = {
+        name: _section(file, name, blocks)
+        for name, blocks in blocks_by_name.items()
+        if not name.startswith(PARSER_KEY_PREFIX)
+    }
     try:
         return msgspec.convert(sections, OperatorSettings)
     except msgspec.ValidationError as error:
-        raise SettingsError(file, *explain(error)) from None
+        raise SettingsError.from_decoder(file, error) from error
 
 
 def load_operator(file: str | None) -> OperatorSettings:
+    """Reads the operators' settings; without a file all have their defaults. Raises SettingsError."""
     if file is None:
         return OperatorSettings()
     try:
         text = Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise SettingsError(file, "(whole file)", getattr(error, "strerror", None) or "is not text") from None
+        reason = getattr(error, "strerror", None) or "is not text"
+        raise SettingsError(file, WHOLE_FILE, reason) from error
     return parse_operator(file, text)
+
+
+def _parse_hcl(file: str, text: str) -> dict[str, Any]:
+    # Imported only here: most controllers run on the defaults, and the parser costs start-up time and memory.
+    import hcl2
+
+    try:
+        return hcl2.loads(text)
+    except Exception as error:  # the parser raises its grammar library's own types
+        line = getattr(error, "line", None)
+        field = f"line {line}" if isinstance(line, int) and line > 0 else WHOLE_FILE
+        raise SettingsError(file, field, "not valid HCL") from error
+
+
+def _section(file: str, name: str, blocks: Any) -> dict[str, Any]:
+    """The fields of the one block of that name."""
+    if not isinstance(blocks, list):
+        raise SettingsError(file, name, "must be a block")
+    if len(blocks) != 1:
+        raise SettingsError(file, name, "block given more than once")
+    block = blocks[0]
+    if not isinstance(block, dict):
+        raise SettingsError(file, name, "must be a block")
+    return {
+        key: value.strip('"') if isinstance(value, str) else value
+        for key, value in block.items()
+        if not key.startswith(PARSER_KEY_PREFIX)
+    }
--- a/spindleglade/settings/platform.py
+++ b/spindleglade/settings/platform.py
@@ -1,34 +1,39 @@
-"""The file the platform hands over. Fields we do not know are ignored, those we need are checked."""
+"""The platform's settings file, in JSON. Unknown fields are ignored, those that are used are checked."""
 
 import math
-import re
 from datetime import timedelta
 from pathlib import Path
 from typing import Annotated, TypeVar
 
 import msgspec
 
-from spindleglade.settings.problem import SettingsError
+from spindleglade.settings.errors import WHOLE_FILE, SettingsError
 
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Address = Annotated[str, msgspec.Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
+MAX_PORT = 65535
+MAX_IP_NUMBER = 255
 
 
 class Peer(msgspec.Struct, frozen=True):
+    """Another controller of the deployment."""
+
     name: Name = msgspec.field(name="node")
     zone: str
     address: Address = msgspec.field(name="endpoint")
 
 
 class External(msgspec.Struct, frozen=True):
+    """Where the cloud and the state service are reached."""
+
     cloud: Address
     state: Address
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantee, and what caps its tasks at any moment."""
+    """A team's guaranteed resources, and the limits on what its tasks use at any moment."""
 
     name: Name
     cpus: Amount = 0.0
@@ -37,44 +42,51 @@
     gpus_max: Amount = 0.0
 
     def __post_init__(self) -> None:
-        # A limit of 0 means none. Taken as one that nothing fits under, it refused all that a guest sent.
+        # A limit of 0 means that there is none.
         for limit in ("cpus_max", "gpus_max"):
             if getattr(self, limit) == 0:
                 msgspec.structs.force_setattr(self, limit, math.inf)
 
 
 class Objective(msgspec.Struct, frozen=True):
+    """What the deployment is measured by."""
+
     kind: str
     job_class: str | None = msgspec.field(name="class", default=None)
     within_s: Amount | None = None
 
 
 class WorkerTimes(msgspec.Struct, frozen=True):
+    """The times of the protocol with the workers."""
+
     report_s: Positive
     lease_s: Positive
     cancel_s: Positive
 
     @property
     def heartbeat_interval(self) -> timedelta:
+        """Time between two heartbeats of a worker."""
         return timedelta(seconds=self.report_s)
 
     @property
     def lease(self) -> timedelta:
+        """For how long after its renewal a worker's lease is valid."""
         return timedelta(seconds=self.lease_s)
 
     @property
     def cancel(self) -> timedelta:
+        """Time within which a confirmed cancellation has stopped all tasks of its job."""
         return timedelta(seconds=self.cancel_s)
 
 
-# Changes in one transaction: an election needs two, and the recorder keeps one free.
+# Changes in one transaction: an election needs two, and the state writer keeps one free.
 Operations = Annotated[int, msgspec.Meta(ge=3)]
-# Share of a value that new ones use: they stay well within what the service takes.
+# Share of the largest value that new ones use: they stay well within what the state service accepts.
 VALUE_SHARE = 0.9
 
 
 class NextStateLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment that is not announced; None: unchanged."""
+    """Limits that the state service will have from an unannounced time on; None: unchanged."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -85,11 +97,13 @@
 Limit = TypeVar("Limit", int, float)
 
 
-def _smaller(now: Limit, later: Limit | None) -> Limit:
-    return now if later is None else min(now, later)
+def _smaller(present: Limit, announced: Limit | None) -> Limit:
+    return present if announced is None else min(present, announced)
 
 
 class StateLimits(msgspec.Struct, frozen=True):
+    """Limits of the state service: requests and writes per second, size of a value, changes at a time."""
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive
@@ -98,23 +112,23 @@
 
     @property
     def lowest(self) -> "StateLimits":
-        """The smaller of each limit and the one announced to follow it."""
-        later = self.next or NextStateLimits()
+        """Of each limit the smaller of the present and the announced one."""
+        announced = self.next or NextStateLimits()
         return StateLimits(
-            _smaller(self.rps, later.rps),
-            _smaller(self.write_rps, later.write_rps),
-            _smaller(self.value_kb, later.value_kb),
-            _smaller(self.txn_ops, later.txn_ops),
+            _smaller(self.rps, announced.rps),
+            _smaller(self.write_rps, announced.write_rps),
+            _smaller(self.value_kb, announced.value_kb),
+            _smaller(self.txn_ops, announced.txn_ops),
         )
 
     @property
     def value_bytes(self) -> int:
-        """What may be put into a new value, under this limit and the next."""
+        """How large a new value is made, under this limit and the next."""
         return int(self.lowest.value_kb * 1024 * VALUE_SHARE)
 
     @property
     def largest_new_value(self) -> int:
-        """The size up to which a new value that nobody can make smaller is tried at all."""
+        """The size up to which a new value that cannot be made smaller is written at all."""
         return int(self.lowest.value_kb * 1024)
 
     @property
@@ -129,6 +143,8 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
+    """Limits of the cloud: requests per second, and how far its list of machines may be behind."""
+
     rps: Positive
     list_lag_s: Amount = 0.0
 
@@ -140,6 +156,8 @@
 
 
 class Params(msgspec.Struct, frozen=True):
+    """What the deployment consists of and has to keep to."""
+
     teams: list[Team]
     workers: WorkerTimes
     state: StateLimits
@@ -150,6 +168,8 @@
 
 
 class Platform(msgspec.Struct, frozen=True):
+    """The whole file: one controller's place in the deployment."""
+
     name: Name = msgspec.field(name="node")
     zone: str
     client_listen: Address
@@ -160,61 +180,54 @@
 
     @property
     def controller_count(self) -> int:
+        """All controllers of the deployment, this one included."""
         return len(self.peers) + 1
 
     @property
     def teams(self) -> dict[str, Team]:
+        """The teams by name."""
         return {team.name: team for team in self.params.teams}
 
     @property
     def soonest_start(self) -> timedelta | None:
-        """The shortest time within which an aim of the deployment wants tasks to start."""
-        waits = [aim.within_s for aim in self.params.objectives if aim.kind == "wait"]
-        return min((timedelta(seconds=wait) for wait in waits if wait is not None), default=None)
+        """The shortest time within which an objective wants tasks to start."""
+        limits_s = [objective.within_s for objective in self.params.objectives if objective.kind == "wait"]
+        return min((timedelta(seconds=limit) for limit in limits_s if limit is not None), default=None)
 
 
-# msgspec says where a value is wrong as `$.params.teams[...].cpus`; operators read `params.teams[...].cpus`.
-_WHERE = re.compile(r"^(?P<reason>.*?)(?: - at `\$\.?(?P<field>[^`]*)`)?$", re.DOTALL)
-_MISSING = re.compile(r"^Object missing required field `(?P<name>[^`]*)`$")
+def load_platform(file: str) -> Platform:
+    """Reads and checks the platform's file. Raises SettingsError."""
+    try:
+        text = Path(file).read_bytes()
+    except OSError as error:
+        raise SettingsError(file, WHOLE_FILE, error.strerror or "cannot be read") from error
+    try:
+        settings = msgspec.json.decode(text, type=Platform)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise SettingsError.from_decoder(file, error) from error
+    _check_unique_names(file, settings)
+    _check_addresses(file, settings)
+    return settings
 
 
-def explain(error: Exception) -> tuple[str, str]:
-    """MachineColumns and reason out of a decoder's message."""
-    match = _WHERE.match(str(error).replace("\n", " "))
-    assert match
-    reason, field = match["reason"], match["field"] or ""
-    missing = _MISSING.match(reason)
-    if missing:
-        return ".".join(part for part in (field, missing["name"]) if part), "is missing"
-    return field or "(whole file)", reason
+def split_address(address: str) -> tuple[str, int]:
+    """Host and port of an address."""
+    host, _, port = address.rpartition(":")
+    return host, int(port)
 
 
-def check_platform(file: str, settings: Platform) -> None:
-    names = [settings.name] + [sibling.name for sibling in settings.peers]
-    if len(set(names)) != len(names):
+def _check_unique_names(file: str, settings: Platform) -> None:
+    controllers = [settings.name] + [peer.name for peer in settings.peers]
+    if len(set(controllers)) != len(controllers):
         raise SettingsError(file, "siblings", "two nodes have the same name")
     teams = [team.name for team in settings.params.teams]
     if len(set(teams)) != len(teams):
         raise SettingsError(file, "params.teams", "two teams have the same name")
-    for where, address in (("client_listen", settings.client_listen), ("peer_bind", settings.peer_listen)):
-        host, port = split_address(address)
-        if port > 65535 or any(int(part) > 255 for part in host.split(".")):
-            raise SettingsError(file, where, f"not an address: {address}")
-
-
-def split_address(address: str) -> tuple[str, int]:
-    host, _, port = address.rpartition(":")
-    return host, int(port)
 
 
-def load_platform(file: str) -> Platform:
-    try:
-        raw = Path(file).read_bytes()
-    except OSError as error:
-        raise SettingsError(file, "(whole file)", error.strerror or "cannot be read") from None
-    try:
-        settings = msgspec.json.decode(raw, type=Platform)
-    except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise SettingsError(file, *explain(error)) from None
-    check_platform(file, settings)
-    return settings
+def _check_addresses(file: str, settings: Platform) -> None:
+    """Checks what an address's pattern does not: the ranges of its numbers."""
+    for field, address in (("client_listen", settings.client_listen), ("peer_bind", settings.peer_listen)):
+        host, port = split_address(address)
+        if port > MAX_PORT or any(int(number) > MAX_IP_NUMBER for number in host.split(".")):
+            raise SettingsError(file, field, f"not an address: {address}")
--- a/spindleglade/settings/test_settings.py
+++ b/spindleglade/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Both settings files, good and bad."""
+"""Both settings files and the command line, with good and bad input."""
 
 import json
 import math
@@ -43,15 +43,16 @@
 
 
 def changed(path, value, drop=False):
-    whole = json.loads(json.dumps(GOOD))
-    at = whole
+    """The good settings with another value at a path, or without it."""
+    settings = json.loads(json.dumps(GOOD))
+    parent = settings
     for key in path[:-1]:
-        at = at[key]
+        parent = parent[key]
     if drop:
-        del at[path[-1]]
+        del parent[path[-1]]
     else:
-        at[path[-1]] = value
-    return whole
+        parent[path[-1]] = value
+    return settings
 
 
 def write(tmp_path, text):
@@ -60,13 +61,13 @@
     return str(file)
 
 
-def test_fields_we_do_not_know_are_ignored(tmp_path):
+def test_unknown_fields_of_the_platform_are_ignored(tmp_path):
     loaded = load_platform(write(tmp_path, GOOD | {"later": [1, {"x": None}]}))
     assert loaded.controller_count == 2 and loaded.teams["t"].cpus_max == 8.0 and loaded.soonest_start is None
 
 
 @pytest.mark.parametrize("limits", [{}, {"cpus_max": 0.0, "gpus_max": 0}, {"cpus_max": 0, "gpus_max": 2.0}])
-def test_a_limit_of_0_is_none(tmp_path, limits):
+def test_a_team_limit_of_0_means_no_limit(tmp_path, limits):
     teams = [{"name": "guest", "cpus": 0.0, **limits}]
     guest = load_platform(write(tmp_path, changed(("params", "teams"), teams))).teams["guest"]
     assert (guest.cpus, guest.cpus_max, guest.gpus_max) == (0.0, math.inf, limits.get("gpus_max") or math.inf)
@@ -85,7 +86,7 @@
 
 
 @pytest.mark.parametrize("sockets", [None, 0, 63, -1, "many", 1.5])
-def test_a_machine_with_too_few_sockets_to_serve_with_is_refused(tmp_path, sockets):
+def test_a_machine_with_too_few_sockets_is_an_error(tmp_path, sockets):
     with pytest.raises(SettingsError, match="params.machine_limits.sockets"):
         load_platform(write(tmp_path, changed(("params", "machine_limits"), {"sockets": sockets})))
     loaded = load_platform(write(tmp_path, changed(("params", "machine_limits"), {"sockets": 64})))
@@ -97,32 +98,36 @@
 
 @pytest.mark.parametrize("field", ["rps", "write_rps", "value_kb", "txn_ops"])
 @pytest.mark.parametrize("value", [True, -1, 0, [], {}, "", 1e300])
-def test_a_bad_limit_to_come_names_its_field(tmp_path, capsys, field, value):
+def test_a_bad_announced_limit_names_its_field(tmp_path, capsys, field, value):
     bad = write(tmp_path, changed(NEXT, {field: value}))
     assert main(["check", "--config", bad]) == 2
-    shown = capsys.readouterr().err
-    assert shown.count("\n") == 1 and "platform.json" in shown and f"params.state.next.{field}" in shown
+    error_output = capsys.readouterr().err
+    assert (
+        error_output.count("\n") == 1
+        and "platform.json" in error_output
+        and f"params.state.next.{field}" in error_output
+    )
 
 
 @pytest.mark.parametrize("value", [True, 3, [], "", {"txn_ops": 2}, {"txn_ops": 4.5}])
-def test_limits_to_come_that_are_none_are_refused(tmp_path, value):
+def test_malformed_announced_limits_are_an_error(tmp_path, value):
     with pytest.raises(SettingsError, match="params.state.next"):
         load_platform(write(tmp_path, changed(NEXT, value)))
 
 
 @pytest.mark.parametrize(
-    "later", [None, {}, {"value_kb": None}, {"txn_ops": 20, "value_kb": 32, "rps": 1e3, "more": 1}]
+    "announced", [None, {}, {"value_kb": None}, {"txn_ops": 20, "value_kb": 32, "rps": 1e3, "more": 1}]
 )
-def test_without_smaller_limits_to_come_nothing_changes(tmp_path, later):
+def test_announced_limits_that_are_not_smaller_change_nothing(tmp_path, announced):
     plain = load_platform(write(tmp_path, GOOD)).params.state
-    limits = load_platform(write(tmp_path, changed(NEXT, later))).params.state
+    limits = load_platform(write(tmp_path, changed(NEXT, announced))).params.state
     assert limits.lowest == plain and limits.operations == 12 and limits.value_bytes == int(16 * 1024 * 0.9)
     assert limits.largest_value == limits.largest_new_value == 16 * 1024
 
 
 def test_the_smaller_of_both_limits_is_used(tmp_path):
-    later = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 28}
-    limits = load_platform(write(tmp_path, changed(NEXT, later))).params.state
+    announced = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 28}
+    limits = load_platform(write(tmp_path, changed(NEXT, announced))).params.state
     assert (limits.lowest.rps, limits.lowest.write_rps, limits.operations) == (100.0, 28.0, 4)
     assert limits.value_bytes == int(2 * 1024 * 0.9) and limits.largest_new_value == 2048
     assert limits.largest_value == 16 * 1024
@@ -135,7 +140,7 @@
 
 
 @given(st.text(max_size=60))
-def test_no_text_breaks_the_operators_file(text):
+def test_any_text_is_either_parsed_or_a_settings_error(text):
     try:
         assert isinstance(parse_operator("x.hcl", text), OperatorSettings)
     except SettingsError as error:
@@ -143,11 +148,11 @@
 
 
 def test_operators_settings_are_read_from_hcl():
-    read = parse_operator(
+    settings = parse_operator(
         "x.hcl", 'backfill {\n tau = 0.1\n predictor = "estimates"\n}\nlog {\n level = "debug"\n}\n'
     )
-    assert read.backfill.tau == 0.1 and read.backfill.predictor == "estimates"
-    assert read.log.level == "debug" and read.fleet == OperatorSettings().fleet
+    assert settings.backfill.tau == 0.1 and settings.backfill.predictor == "estimates"
+    assert settings.log.level == "debug" and settings.fleet == OperatorSettings().fleet
 
 
 @pytest.mark.parametrize(
@@ -168,20 +173,20 @@
     assert field in str(error.value)
 
 
-def test_the_command_line_answers_bad_input_in_one_line(tmp_path, capsys, monkeypatch):
+def test_the_command_line_reports_bad_input_in_one_line(tmp_path, capsys, monkeypatch):
     good = write(tmp_path, GOOD)
     bad = tmp_path / "bad.hcl"
     bad.write_text("backfill {\n tau = 2\n}\n")
     assert main(["check", "--config", good]) == 0
     capsys.readouterr()
     assert main(["check", "--config", good, "--settings", str(bad)]) == 2
-    shown = capsys.readouterr().err
-    assert shown.count("\n") == 1 and "bad.hcl" in shown and "backfill.tau" in shown
+    error_output = capsys.readouterr().err
+    assert error_output.count("\n") == 1 and "bad.hcl" in error_output and "backfill.tau" in error_output
     monkeypatch.setenv("LOG_LEVEL", "loud")
     assert main(["check", "--config", good]) == 2
     assert "LOG_LEVEL" in capsys.readouterr().err
     for arguments in (["check"], ["check", "--config"], ["dance"], []):
-        with pytest.raises(SystemExit) as stopped:
+        with pytest.raises(SystemExit) as exit_info:
             main(arguments)
-        assert stopped.value.code == 2
+        assert exit_info.value.code == 2
         assert capsys.readouterr().err.count("\n") == 1
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -32,7 +32,7 @@
 from spindleglade.leadership import election, peers
 from spindleglade.runtime.clock import ZERO, ManualClock
 from spindleglade.settings import operator, platform
-from spindleglade.settings.problem import SettingsError
+from spindleglade.settings.errors import SettingsError
 from spindleglade.store import client as store
 from spindleglade.store.client import StateClient
 from spindleglade.store.replica import Replica
