--- a/spindleglade/cli.py
+++ b/spindleglade/cli.py
@@ -1,4 +1,4 @@
-"""The command line: `serve` runs a controller, `check` only reads its settings."""
+"""The command line: `serve` runs a controller, `check` reads its settings, `warm` compiles the modules."""
 
 import argparse
 import gc
@@ -10,51 +10,63 @@
 
 from spindleglade.settings import OperatorSettings, Platform, SettingsError, load_operator, load_platform
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+# Overrides the operators' log level.
+LOG_LEVEL_VARIABLE = "LOG_LEVEL"
+EXIT_OK = 0
+EXIT_BAD_INPUT = 2
 
 
-class _Parser(argparse.ArgumentParser):
-    """Says what is wrong in one line."""
+class _OneLineErrorParser(argparse.ArgumentParser):
+    """Reports a bad command line in one line, without the usage."""
 
     def error(self, message: str) -> None:  # type: ignore[override]
-        self.exit(2, f"{self.prog}: command line: {message}\n")
+        self.exit(EXIT_BAD_INPUT, f"{self.prog}: command line: {message}\n")
 
 
 def parser() -> argparse.ArgumentParser:
-    made = _Parser(prog="spindleglade", description="A cluster scheduler that backfills by distributions.")
-    commands = made.add_subparsers(dest="command", required=True, parser_class=_Parser)
+    """The parser of the command line."""
+    result = _OneLineErrorParser(
+        prog="spindleglade", description="A cluster scheduler that backfills by distributions."
+    )
+    commands = result.add_subparsers(dest="command", required=True, parser_class=_OneLineErrorParser)
     for name, text in (("serve", "run one controller"), ("check", "check the settings and exit")):
         command = commands.add_parser(name, help=text, description=text)
         command.add_argument("--settings", metavar="FILE.hcl", help="the operators' own settings, in HCL")
         command.add_argument("--config", metavar="FILE", required=True, help="the platform's JSON settings")
     commands.add_parser("warm", help="import everything once, so that the compiled files are there")
-    return made
+    return result
 
 
-class _Format(logging.Formatter):
-    def __init__(self, node: str) -> None:
-        super().__init__(f"%(asctime)s %(levelname)s {node} %(name)s %(message)s")
+class _LogFormatter(logging.Formatter):
+    """Formats lines with the time in UTC and the controller's name."""
+
+    def __init__(self, controller: str) -> None:
+        super().__init__(f"%(asctime)s %(levelname)s {controller} %(name)s %(message)s")
 
     def formatTime(self, record: logging.LogRecord, datefmt: str | None = None) -> str:
         return datetime.fromtimestamp(record.created, UTC).isoformat(timespec="milliseconds")
 
 
-def set_up_logging(settings: OperatorSettings, node: str) -> None:
-    level = os.environ.get("LOG_LEVEL") or settings.log.level
-    if level not in LEVELS:
-        raise SettingsError("environment", "LOG_LEVEL", f"{level!r} is not one of {', '.join(LEVELS)}")
+def set_up_logging(settings: OperatorSettings, controller: str) -> None:
+    """Logs to standard error, at the level of the environment or the settings. Raises SettingsError."""
+    level = os.environ.get(LOG_LEVEL_VARIABLE) or settings.log.level
+    if level not in LOG_LEVELS:
+        reason = f"{level!r} is not one of {', '.join(LOG_LEVELS)}"
+        raise SettingsError("environment", LOG_LEVEL_VARIABLE, reason)
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(_Format(node))
-    logging.basicConfig(level=LEVELS[level], handlers=[handler], force=True)
-    # Threads and processes are not shown; finding them out costs time on each line.
+    handler.setFormatter(_LogFormatter(controller))
+    logging.basicConfig(level=LOG_LEVELS[level], handlers=[handler], force=True)
+    # Threads and processes are not shown, and finding them out would cost time on each line.
     logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
 
 
 def serve(platform: Platform, settings: OperatorSettings) -> int:
-    # What is imported stays; to look through it for garbage, now and later, is wasted time. A controller that
-    # is back a second sooner saves the leases of machines that wait for it.
+    """Runs a controller until the process is stopped; returns the exit code."""
+    # Imported modules stay, so searching them for garbage, now or later, would only delay the start. Leases
+    # of machines that wait for this controller end meanwhile.
     gc.disable()
-    # Imported late, so that a bad settings file is told of at once.
+    # Imported late, so that a bad settings file is reported at once.
     from twisted.internet import reactor
     from twisted.python.log import PythonLoggingObserver
 
@@ -66,26 +78,32 @@
     gc.freeze()
     gc.enable()
     reactor.run()  # type: ignore[attr-defined]
-    return 0
+    return EXIT_OK
+
+
+def warm() -> int:
+    """Imports all modules, so that their compiled files are there; returns the exit code."""
+    import hcl2  # noqa: F401
+    import twisted.internet.reactor  # noqa: F401
+
+    import spindleglade.controller.controller  # noqa: F401
+
+    return EXIT_OK
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs the command line; returns the exit code."""
     options = parser().parse_args(arguments)
     if options.command == "warm":
-        import hcl2  # noqa: F401
-        import twisted.internet.reactor  # noqa: F401
-
-        import spindleglade.controller.controller  # noqa: F401
-
-        return 0
+        return warm()
     try:
         platform = load_platform(options.config)
         settings = load_operator(options.settings)
         set_up_logging(settings, platform.name)
     except SettingsError as error:
         print(f"spindleglade: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     if options.command == "check":
         print("settings are good")
-        return 0
+        return EXIT_OK
     return serve(platform, settings)
