--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -18,16 +18,12 @@
 from spindleglade.http.connection_budget import ConnectionBudget
 from spindleglade.http.web import ConcurrencyLimiter, HttpClient, HttpResponse, Requester, http_server
 from spindleglade.leadership.election import Election, Term
+from spindleglade.leadership.errors import PeerUnreachableError
 from spindleglade.leadership.monitor import LeadershipMonitor
 from spindleglade.leadership.peer_cancellations import PeerCancellationLog
-from spindleglade.leadership.peers import (
-    HeartbeatRelayRequest,
-    PeerHeartbeat,
-    PeerNetwork,
-    Peers,
-    PeerUnreachableError,
-    UserRequestForward,
-)
+from spindleglade.leadership.peer_handlers import PeerHandlers
+from spindleglade.leadership.peer_messages import HeartbeatRelayRequest, PeerHeartbeat, UserRequestForward
+from spindleglade.leadership.peer_network import PeerNetwork, Peers
 from spindleglade.runtime.background import run_forever
 from spindleglade.runtime.clock import Clock, ReactorClock, seconds, sleep
 from spindleglade.settings import OperatorSettings, Platform
@@ -70,7 +66,9 @@
     pool = ThreadPool(1, 1, "planning")
 
     def connect(*handlers: Any) -> PeerNetwork:
-        return PeerNetwork(reactor, clock, platform.peers, seconds(settings.leadership.ping_s), *handlers)
+        return PeerNetwork(
+            reactor, clock, platform.peers, seconds(settings.leadership.ping_s), PeerHandlers(*handlers)
+        )
 
     sockets = ConnectionBudget(platform.params.machine_limits.sockets)
     node = Controller(
--- /dev/null
+++ b/spindleglade/leadership/peer_network.py
@@ -0,0 +1,90 @@
+"""Connects a controller with all its peers, and serves the requests that they send."""
+
+from datetime import timedelta
+from typing import Any, Protocol
+
+from twisted.internet.protocol import Factory
+
+from spindleglade.leadership.peer_connection import PeerConnection
+from spindleglade.leadership.peer_handlers import PeerHandlers
+from spindleglade.leadership.peer_messages import (
+    HeartbeatRelayRequest,
+    HeartbeatRelayResponse,
+    Message,
+    PeerHeartbeat,
+    UserRequestForward,
+    UserRequestForwardResponse,
+)
+from spindleglade.leadership.peer_transport import PeerProtocol
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import Clock
+from spindleglade.settings.platform import Peer
+
+
+class Peers(Protocol):
+    """What a controller needs of its peer network."""
+
+    connections: list[Any]
+
+    def start(self) -> None:
+        """Starts to connect to all peers."""
+
+    def connection_to(self, controller: str) -> Any:
+        """The connection to that controller if it is up."""
+
+
+class PeerNetwork:
+    """The connections to all peers, and the server that the peers connect to."""
+
+    def __init__(
+        self,
+        reactor: Any,
+        clock: Clock,
+        peers: list[Peer],
+        heartbeat_interval: timedelta,
+        handlers: PeerHandlers,
+    ) -> None:
+        self._handlers = handlers
+        self.connections = [
+            PeerConnection(reactor, clock, peer, heartbeat_interval, handlers) for peer in peers
+        ]
+
+    def start(self) -> None:
+        """Starts to connect to all peers."""
+        for connection in self.connections:
+            connection.start()
+
+    def connection_to(self, controller: str) -> PeerConnection | None:
+        """The connection to that controller if it is up."""
+        return next(
+            (
+                connection
+                for connection in self.connections
+                if connection.peer.name == controller and connection.is_up
+            ),
+            None,
+        )
+
+    def server_factory(self) -> Factory:
+        """Makes the protocols for the connections that peers open to this controller."""
+        factory = Factory.forProtocol(lambda: PeerProtocol(self._on_request, lambda connection: None))
+        factory.noisy = False
+        return factory
+
+    def _on_request(self, connection: PeerProtocol, message: Message) -> None:
+        if isinstance(message, PeerHeartbeat):
+            self._handlers.on_heartbeat(message, None)
+            connection.send(self._handlers.make_heartbeat(message.revision))
+        elif isinstance(message, HeartbeatRelayRequest):
+            responses = self._handlers.on_relayed_heartbeats(message.heartbeats)
+            connection.send(HeartbeatRelayResponse(message.request_id, responses))
+        elif isinstance(message, UserRequestForward):
+            run_in_background(self._respond_to_forward(connection, message), "answer forward")
+
+    async def _respond_to_forward(self, connection: PeerProtocol, message: UserRequestForward) -> None:
+        response = await self._handlers.on_forwarded_request(message.method, message.path, message.body)
+        connection.send(
+            UserRequestForwardResponse(
+                message.request_id, response.status, response.retry_after, response.body
+            )
+        )
--- a/spindleglade/leadership/test_leadership.py
+++ b/spindleglade/leadership/test_leadership.py
@@ -9,12 +9,13 @@
 from twisted.internet.defer import ensureDeferred
 
 from spindleglade.leadership.election import LEADER, RETRY_SHARE, Election, LeaderRecord
-from spindleglade.leadership.peers import (
+from spindleglade.leadership.errors import PeerUnreachableError
+from spindleglade.leadership.peer_connection import PeerConnection
+from spindleglade.leadership.peer_handlers import PeerHandlers
+from spindleglade.leadership.peer_messages import (
     HeartbeatRelayRequest,
     HeartbeatRelayResponse,
-    PeerConnection,
     PeerHeartbeat,
-    PeerUnreachableError,
     UserRequestForward,
     UserRequestForwardResponse,
     decode_message,
@@ -277,8 +278,8 @@
     assert store.held and min(store.held) > seconds(4 * RETRY_SHARE)
 
 
-class Wire:
-    """A connection that takes what is sent and says nothing."""
+class SilentProtocol:
+    """A connection that takes what is sent and delivers nothing."""
 
     def __init__(self):
         self.sent = []
@@ -291,83 +292,87 @@
         self.sent.clear()
 
 
-def test_a_word_from_before_standing_still_shows_no_term():
-    """A process that goes on after 20 s first reads what its siblings said before: it would have taken that
-    for a proof that it still leads."""
-    clock, wire = ManualClock(), Wire()
-    link = PeerConnection(None, clock, Peer("other", "a", "10.0.0.1:1"), seconds(0.5), lambda revision: ping)
-    ping = PeerHeartbeat("other", 1, False, 0)
+def peer_connection(clock, on_connect):
+    """A connection to a peer whose every attempt to connect succeeds; `on_connect` is called after each."""
+    handlers = PeerHandlers(
+        make_heartbeat=lambda revision: "heartbeat",
+        on_relayed_heartbeats=lambda heartbeats: None,
+        on_forwarded_request=lambda method, path, body: None,
+        on_heartbeat=lambda heartbeat, sent_at: None,
+        on_peer_process_ended=lambda peer: None,
+    )
+    connection = PeerConnection(None, clock, Peer("other", "a", "10.0.0.1:1"), seconds(0.5), handlers)
 
     async def connect(host, port):
-        link._connection = wire
+        connection._connection = SilentProtocol()
+        on_connect(connection)
+
+    connection._connect = connect
+    return connection
+
 
-    link._connect = connect
-    link.start()
+def test_an_acknowledgement_read_after_a_suspension_proves_no_leadership_since():
+    """A process that resumes after 20 s first reads what its peers sent before. That must not count as a
+    proof that it still leads."""
+    clock = ManualClock()
+    connection = peer_connection(clock, lambda connection: None)
+    heartbeat = PeerHeartbeat("other", 1, False, 0)
+    connection.start()
+    protocol = connection._connection
     clock.advance(seconds(0.1))
-    link._on_message(wire, ping)
-    assert link.acknowledged_ping_sent_at == seconds(0)
+    connection._on_message(protocol, heartbeat)
+    assert connection.acknowledged_heartbeat_sent_at == seconds(0)
     clock.advance(seconds(1))
-    assert len(wire.sent) == 3
-    # The second ping's answer is read 20 s late, before any timer.
+    assert len(protocol.sent) == 3
+    # The acknowledgement of the second heartbeat is read 20 s late, before any timer.
     clock._now += seconds(20)
-    link._on_message(wire, ping)
-    assert link.last_message_at == clock.now() and link.acknowledged_ping_sent_at == seconds(0.5)
-    # Each answer belongs to one question, in their order; one more than was asked shows nothing.
-    link._on_message(wire, ping)
-    link._on_message(wire, ping)
-    assert link.acknowledged_ping_sent_at == seconds(1)
-    # What a connection before this one still brings answers nothing that was asked here.
+    connection._on_message(protocol, heartbeat)
+    assert connection.last_message_at == clock.now()
+    assert connection.acknowledged_heartbeat_sent_at == seconds(0.5)
+    # Acknowledgements come in the order of the heartbeats; one more than there were proves nothing.
+    connection._on_message(protocol, heartbeat)
+    connection._on_message(protocol, heartbeat)
+    assert connection.acknowledged_heartbeat_sent_at == seconds(1)
+    # What an earlier connection still delivers acknowledges nothing that was sent over this one.
     clock.advance(seconds(0.5))
-    link._on_message(Wire(), ping)
-    assert link.acknowledged_ping_sent_at == seconds(1)
-
-
-def silent_link(clock, connected):
-    """A link whose every connection is made, of which `connected` is told; nothing is ever answered."""
-    link = PeerConnection(
-        None, clock, Peer("other", "a", "10.0.0.1:1"), seconds(0.5), lambda revision: "ping"
-    )
-
-    async def connect(host, port):
-        link._connection = Wire()
-        connected(link)
-
-    link._connect = connect
-    return link
-
-
-def test_a_connection_over_which_nothing_was_said_is_no_link():
-    """The system accepts connections for a process that stands still. Its last words, minutes old, went on to
-    count: requests were forwarded to it and waited for their timeout, and workers were sent to it."""
-    clock, wires = ManualClock(), []
-    link = silent_link(clock, lambda link: wires.append(link._connection))
-    link.start()
-    link._on_message(link._connection, PeerHeartbeat("other", 1, True, 0))
-    assert link.is_up
+    connection._on_message(SilentProtocol(), heartbeat)
+    assert connection.acknowledged_heartbeat_sent_at == seconds(1)
+
+
+def test_a_connection_without_a_message_from_the_peer_is_not_up():
+    """The system accepts connections for a process that is suspended. Messages received before must not
+    count, or requests would be forwarded to it and wait for their timeout."""
+    clock, protocols = ManualClock(), []
+    connection = peer_connection(clock, lambda connection: protocols.append(connection._connection))
+    connection.start()
+    connection._on_message(connection._connection, PeerHeartbeat("other", 1, True, 0))
+    assert connection.is_up
     clock.advance(seconds(2.5))
     for _ in range(70):
         clock.advance(seconds(1))
-        assert not link.is_up
-    refused = []
-    asked = ensureDeferred(
-        link.request(lambda number: UserRequestForward(number, "GET", "/ready", b""), seconds(1))
+        assert not connection.is_up
+    errors = []
+    request = ensureDeferred(
+        connection.request(
+            lambda request_id: UserRequestForward(request_id, "GET", "/ready", b""), seconds(1)
+        )
     )
-    asked.addErrback(lambda failure: refused.append(failure.type))
-    assert refused == [PeerUnreachableError]
-    # One connection at a time, given up after four pings.
-    assert 30 <= len(wires) <= 37
-    # It goes on: its first word makes the link.
-    link._on_message(link._connection, PeerHeartbeat("other", 1, False, 0))
-    assert link.is_up and not link.last_heartbeat.leads
+    request.addErrback(lambda failure: errors.append(failure.type))
+    assert errors == [PeerUnreachableError]
+    # One connection at a time, given up after four heartbeats.
+    assert 30 <= len(protocols) <= 37
+    # The first message over the present connection makes it up.
+    connection._on_message(connection._connection, PeerHeartbeat("other", 1, False, 0))
+    assert connection.is_up and not connection.last_heartbeat.leads
 
 
-def test_a_sibling_that_closes_each_connection_at_once_is_dialled_once_a_ping():
-    clock, dials = ManualClock(), []
+def test_a_peer_that_closes_each_connection_at_once_is_connected_to_once_a_heartbeat_interval():
+    clock, attempts = ManualClock(), []
 
-    def close(link):
-        dials.append(clock.now())
-        clock.later(seconds(0.001), link._on_connection_lost)
+    def close(connection):
+        attempts.append(clock.now())
+        clock.later(seconds(0.001), connection._on_connection_lost)
 
-    silent_link(clock, close).start()
+    peer_connection(clock, close).start()
     clock.advance(seconds(10.1))
-    assert len(dials) == 21
+    assert len(attempts) == 21
--- a/tests/production_names.py
+++ b/tests/production_names.py
@@ -14,7 +14,8 @@
     "controller.controller": "app",
     "http.connection_budget": "sockets",
     "http.web": "web",
-    "leadership.peers": "leadership.links",
+    "leadership.peer_messages": "leadership.links",
+    "leadership.peer_network": "leadership.links",
 }
 NAMES = {
     "ClientResponse": "Response",
--- a/tests/record_production.py
+++ b/tests/record_production.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from spindleglade.leadership.peers import Message
+from spindleglade.leadership.peer_messages import Message
 from spindleglade.runtime.clock import seconds
 from tests import recorded_day as day
 from tests.fakes.encoding import Reply
--- a/tests/simulated_deployment.py
+++ b/tests/simulated_deployment.py
@@ -13,7 +13,9 @@
 
 from spindleglade.controller.controller import Controller
 from spindleglade.http.connection_budget import ConnectionBudget
-from spindleglade.leadership.peers import Message, PeerNetwork
+from spindleglade.leadership.peer_handlers import PeerHandlers
+from spindleglade.leadership.peer_messages import Message
+from spindleglade.leadership.peer_network import PeerNetwork
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
@@ -27,7 +29,7 @@
 from tests.invariants.service_invariants import ServiceInvariants
 from tests.processes import Errors, LifeClock, SimHttp
 from tests.production_names import viewed
-from tests.sibling_links import SimConnection, connect_links
+from tests.simulated_peer_network import SimulatedPeerConnection, connect_peers
 from tests.versions import CURRENT, Version
 
 # How long the users allow that no question about a job is answered once all troubles are over.
@@ -81,7 +83,7 @@
         self.silent: set[str] = set()
         self.sent_to_silent: defaultdict[tuple[str, type], list[timedelta]] = defaultdict(list)
         # The dialled ends, in the order in which they were made.
-        self.connections_of_siblings: dict[SimConnection, None] = {}
+        self.connections_of_siblings: dict[SimulatedPeerConnection, None] = {}
         self.lose = 0.0
         # Machines whose reports arrive, but which no answer and no order reaches.
         self.not_receiving: set[str] = set()
@@ -158,20 +160,17 @@
         platform = version.platform(platform_settings(index, self.at))
         ping = seconds(self.settings.leadership.ping_s)
 
-        def connect(hello: Any, relay: Any, forward: Any, saw: Any, ended: Any) -> PeerNetwork:
+        def connect(*handlers: Any) -> PeerNetwork:
             # Nobody is told of ended processes: successors wait for the lease, which is harder.
-            network = version.named("leadership.peers", "PeerNetwork")(
+            handlers = (*handlers[:-1], lambda name: None)
+            network = version.named("leadership.peer_network", "PeerNetwork")(
                 None,
                 life,
                 platform.siblings if version.is_production else platform.peers,
                 ping,
-                hello,
-                relay,
-                forward,
-                saw,
-                lambda name: None,
+                *(handlers if version.is_production else [PeerHandlers(*handlers)]),
             )
-            connect_links(self, name, viewed(network))
+            connect_peers(self, name, viewed(network))
             return network
 
         async def compute(work: Any, *args: Any) -> Any:
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -29,7 +29,7 @@
 from spindleglade.fleet.client import CloudClient
 from spindleglade.fleet.machine_types import MORE_TYPES
 from spindleglade.http.web import HEARTBEAT_PATH, ClientResponse, HttpResponse
-from spindleglade.leadership import election, peers
+from spindleglade.leadership import election, peer_messages
 from spindleglade.runtime.clock import ZERO, ManualClock
 from spindleglade.settings import operator, platform
 from spindleglade.settings.errors import SettingsError
@@ -87,11 +87,11 @@
     "store: delete": Form(store.Delete),
     "store: transaction": Form(store._TransactionRequest, encode_only=True),
     "store: lease request": Form(store._LeaseRequest),
-    "controllers: ping": Form(peers.PeerHeartbeat, msgspec.msgpack),
-    "controllers: relay": Form(peers.HeartbeatRelayRequest, msgspec.msgpack),
-    "controllers: relayed": Form(peers.HeartbeatRelayResponse, msgspec.msgpack),
-    "controllers: forward": Form(peers.UserRequestForward, msgspec.msgpack),
-    "controllers: forwarded": Form(peers.UserRequestForwardResponse, msgspec.msgpack),
+    "controllers: ping": Form(peer_messages.PeerHeartbeat, msgspec.msgpack),
+    "controllers: relay": Form(peer_messages.HeartbeatRelayRequest, msgspec.msgpack),
+    "controllers: relayed": Form(peer_messages.HeartbeatRelayResponse, msgspec.msgpack),
+    "controllers: forward": Form(peer_messages.UserRequestForward, msgspec.msgpack),
+    "controllers: forwarded": Form(peer_messages.UserRequestForwardResponse, msgspec.msgpack),
     "records: leader": Form(election.LeaderRecord),
     "records: token": Form(election.TokenRecord),
     "records: job": Form(records.JobRecord),
@@ -496,7 +496,7 @@
 @pytest.mark.parametrize("label", [label for label in FORMS if label.startswith("controllers: ")])
 def test_controllers_tell_their_messages_apart(label: str) -> None:
     data = bytes.fromhex(pinned("messages", label)["full"])
-    assert type(peers.decode_message(data)) is FORMS[label].type
+    assert type(peer_messages.decode_message(data)) is FORMS[label].type
 
 
 @pytest.mark.parametrize("label", PINS["keys"])
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -5,7 +5,7 @@
 
 from spindleglade.backfill.distributions import History
 from spindleglade.fleet.messages import MachineTypeList
-from spindleglade.leadership import election, peers
+from spindleglade.leadership import election, peer_messages
 from spindleglade.runtime.clock import seconds
 from spindleglade.submissions import records
 from tests import production, versions
@@ -38,11 +38,11 @@
 
 # The present messages between controllers, and what production calls them.
 PRODUCTION_MESSAGES = {
-    peers.PeerHeartbeat: "Ping",
-    peers.HeartbeatRelayRequest: "Relay",
-    peers.HeartbeatRelayResponse: "Relayed",
-    peers.UserRequestForward: "Forward",
-    peers.UserRequestForwardResponse: "Forwarded",
+    peer_messages.PeerHeartbeat: "Ping",
+    peer_messages.HeartbeatRelayRequest: "Relay",
+    peer_messages.HeartbeatRelayResponse: "Relayed",
+    peer_messages.UserRequestForward: "Forward",
+    peer_messages.UserRequestForwardResponse: "Forwarded",
 }
 
 
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize("kind", sorted(MESSAGES))
 def test_recorded_messages_are_read(kind):
-    message = peers.decode_message(MESSAGES[kind])
+    message = peer_messages.decode_message(MESSAGES[kind])
     old = production.decode_message(MESSAGES[kind])
     assert PRODUCTION_MESSAGES[type(message)] == kind
     assert_same_message(message, old)
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from spindleglade.leadership.peers import PeerHeartbeat
+from spindleglade.leadership.peer_messages import PeerHeartbeat
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import seconds
 from spindleglade.settings.operator import LeadershipSettings
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -35,7 +35,7 @@
     package: str
 
     def module(self, name: str) -> ModuleType:
-        """A module of this version, such as `leadership.peers`, by its present name."""
+        """A module of this version, such as `leadership.peer_messages`, by its present name."""
         own_name = MODULES.get(name, name) if self.is_production else name
         return importlib.import_module(f"{self.package}.{own_name}")
 
@@ -55,7 +55,7 @@
 
     def read_message(self, encoded: bytes) -> Any:
         """A message of a sibling as this version reads it."""
-        return msgspec.msgpack.decode(encoded, type=self.module("leadership.peers").Message)
+        return msgspec.msgpack.decode(encoded, type=self.module("leadership.peer_messages").Message)
 
 
 CURRENT = Version(PACKAGE)
