--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -17,13 +17,14 @@
 from spindleglade.fleet.machine_types import MachineTypeCatalog
 from spindleglade.http.connection_budget import ConnectionBudget
 from spindleglade.http.web import ConcurrencyLimiter, HttpClient, HttpResponse, Requester, http_server
-from spindleglade.leadership.election import Election, Term
+from spindleglade.leadership.election import Election, ElectionHandlers
 from spindleglade.leadership.errors import PeerUnreachableError
 from spindleglade.leadership.monitor import LeadershipMonitor
 from spindleglade.leadership.peer_cancellations import PeerCancellationLog
 from spindleglade.leadership.peer_handlers import PeerHandlers
 from spindleglade.leadership.peer_messages import HeartbeatRelayRequest, PeerHeartbeat, UserRequestForward
 from spindleglade.leadership.peer_network import PeerNetwork, Peers
+from spindleglade.leadership.term import Term
 from spindleglade.runtime.background import run_forever
 from spindleglade.runtime.clock import Clock, ReactorClock, seconds, sleep
 from spindleglade.settings import OperatorSettings, Platform
@@ -163,9 +164,7 @@
             self.replica,
             clock,
             seconds(settings.leadership.lease_s),
-            self._on_elected,
-            self._on_deposed,
-            lambda: self._monitor.may_campaign,
+            ElectionHandlers(self._on_elected, self._on_deposed, lambda: self._monitor.may_campaign),
         )
         # How long after it was shown to lead by the store a node may take itself for the leader.
         self._proof_validity = seconds(settings.store.confirm_s + settings.leadership.lease_s)
--- a/spindleglade/controller/history_writer.py
+++ b/spindleglade/controller/history_writer.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from spindleglade.backfill.distributions import Predictor
-from spindleglade.leadership.election import LEADER, Term
+from spindleglade.leadership.term import LEADER, Term
 from spindleglade.store.client import (
     Committed,
     Condition,
--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -18,7 +18,7 @@
 from spindleglade.fleet.client import CloudClient
 from spindleglade.fleet.machine_types import MachineTypeCatalog
 from spindleglade.http.web import ConcurrencyLimiter
-from spindleglade.leadership.election import Term
+from spindleglade.leadership.term import Term
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import Clock, seconds, sleep
 from spindleglade.runtime.log_throttle import LogThrottle
--- a/spindleglade/controller/test_leader.py
+++ b/spindleglade/controller/test_leader.py
@@ -7,7 +7,7 @@
 
 from spindleglade.controller.history_writer import HistoryWriter
 from spindleglade.controller.leader import Leader
-from spindleglade.leadership.election import LEADER, Term
+from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
--- /dev/null
+++ b/spindleglade/leadership/test_election.py
@@ -0,0 +1,225 @@
+"""Elections and lease renewals, under generated faults and in single cases."""
+
+import dataclasses
+import random
+
+import msgspec
+import pytest
+
+from spindleglade.leadership.election import Election, ElectionHandlers
+from spindleglade.leadership.lease_renewal import RETRY_SHARE
+from spindleglade.leadership.term import LEADER, LeaderRecord
+from spindleglade.runtime.clock import ManualClock, seconds
+from spindleglade.store.client import Committed, Condition, ConditionFailed, NotAppliedError, RateLimitedError
+from tests.simulated_deployment import SimulatedDeployment
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_leaders_follow_one_another_with_rising_tokens(seed):
+    """Through kills, outages and lost leases no token is used twice, and there is one leader again once all
+    faults are over."""
+    rng = random.Random(seed)
+    deployment = SimulatedDeployment(seed)
+    tokens: list[int] = []
+
+    def record_elections(controller):
+        handlers = controller.election._handlers
+
+        def on_elected(term):
+            tokens.append(term.token)
+            handlers.on_elected(term)
+
+        controller.election._handlers = dataclasses.replace(handlers, on_elected=on_elected)
+
+    for controller in deployment.nodes.values():
+        record_elections(controller)
+    for _ in range(6):
+        deployment.run(seconds(rng.uniform(1, 5)))
+        fault = rng.choice(["kill", "outage", "refuse"])
+        leader = deployment.leader()
+        if fault == "kill" and leader is not None:
+            deployment.kill_node(leader)
+            deployment.run(seconds(rng.uniform(0.1, 5)))
+            deployment.start_node(leader)
+            record_elections(deployment.nodes[deployment.node_names[leader]])
+        elif fault == "outage":
+            deployment.state.outage(seconds(rng.uniform(0.5, 6)))
+        elif leader is not None:
+            deployment.refused.add(deployment.node_names[leader])
+            deployment.run(seconds(rng.uniform(0.5, 6)))
+            deployment.refused.clear()
+    deployment.run(seconds(10))
+    assert tokens == sorted(set(tokens)) and len(tokens) >= 2
+    assert sum(controller.is_leader for controller in deployment.nodes.values()) == 1
+
+
+def test_a_deposed_leaders_writes_fail():
+    deployment = SimulatedDeployment(3)
+    deployment.run(seconds(3))
+    leader = deployment.leader()
+    deposed = deployment.nodes[deployment.node_names[leader]]
+    # Its lease expires unnoticed: it can neither renew nor watch, and still takes itself for the leader.
+    deployment.refused.add(deployment.node_names[leader])
+    deployment.cut(deployment.node_names[leader], deployment.node_names, False, seconds(9))
+    for _ in range(80):
+        if sum(other.is_leader for other in deployment.nodes.values()) == 2:
+            break
+        deployment.run(seconds(0.1))
+    assert deposed.is_leader and sum(other.is_leader for other in deployment.nodes.values()) == 2
+    job = deployment.submit(1, threads=2, run_s=1.0)
+    deployment.refused.clear()
+    deployment.run(seconds(15))
+    assert not deposed.is_leader and deployment.told[job] == "pending"
+    deployment.poll(job)
+    deployment.run(seconds(1))
+    assert deployment.told[job] == "done"
+
+
+def test_a_leader_without_store_and_peers_steps_down_though_its_workers_reach_it():
+    """Else it would go on renewing their leases without any command for them."""
+    deployment = SimulatedDeployment(3)
+    deployment.run(seconds(3))
+    leader = deployment.leader()
+    name = deployment.node_names[leader]
+    deployment.cut(name, [*deployment.node_names, "state"], False, seconds(30))
+    deployment.run(seconds(6))
+    assert not deployment.nodes[name].is_leader and deployment.leader() not in (None, leader)
+
+
+def test_an_election_during_a_campaign_is_not_taken_for_the_vacancy():
+    """Another controller is elected while this one's lease is being granted. The conditions must be those of
+    the vacancy, or this one would depose it at once."""
+
+    class Replica:
+        loaded, mod_revisions = True, {}
+
+        def subscribe(self, on_change):
+            self.on_change = on_change
+
+        async def catch_up(self):
+            pass
+
+    class Store:
+        async def grant_lease(self, ttl):
+            replica.mod_revisions[LEADER] = 9
+            replica.on_change(LEADER, msgspec.json.encode(LeaderRecord("other", 1)), 9)
+            return 5
+
+        async def compare_and_swap(self, conditions, writes, urgent=False):
+            conditions_sent.extend(conditions)
+            return ConditionFailed(frozenset([LEADER]), 9)
+
+        async def revoke_lease(self, lease):
+            pass
+
+    conditions_sent, replica, clock = [], Replica(), ManualClock()
+    handlers = ElectionHandlers(on_elected=None, on_deposed=None)
+    Election("me", Store(), replica, clock, seconds(4), handlers).start()
+    clock.advance(seconds(0.1))
+    assert Condition(LEADER, 0) in conditions_sent
+
+
+@pytest.mark.parametrize("later", [LeaderRecord("other", 2), None])
+def test_a_term_that_ended_before_the_response_came_never_begins(later):
+    """The response to the winning transaction is slow, and the replica shows first what came after it. A term
+    that began then would last until the next change of the leader key."""
+
+    class Replica:
+        loaded, mod_revisions = True, {}
+
+        def subscribe(self, on_change):
+            self.on_change = on_change
+
+        async def catch_up(self):
+            pass
+
+    class Store:
+        async def grant_lease(self, ttl):
+            return 5
+
+        async def compare_and_swap(self, conditions, writes, urgent=False):
+            replica.on_change(LEADER, msgspec.json.encode(LeaderRecord("me", 1)), 9)
+            replica.on_change(LEADER, None if later is None else msgspec.json.encode(later), 10)
+            return Committed(9)
+
+        async def revoke_lease(self, lease):
+            pass
+
+        async def keep_alive(self, lease):
+            raise NotAppliedError("503")
+
+    terms, replica, clock = [], Replica(), ManualClock()
+    handlers = ElectionHandlers(terms.append, on_deposed=None, may_campaign=lambda: not terms)
+    election = Election("me", Store(), replica, clock, seconds(4), handlers)
+    election.start()
+    clock.advance(seconds(0.06))
+    assert not terms and election.term is None
+
+
+def test_a_leader_whose_process_ended_is_replaced_before_its_lease_ends():
+    deployment = SimulatedDeployment(5)
+    deployment.run(seconds(3))
+    leader = deployment.leader()
+    name = deployment.node_names[leader]
+    deployment.kill_node(leader)
+    for controller in deployment.nodes.values():
+        controller.election.on_peer_process_ended(name)
+    deployment.run(seconds(0.5))
+    assert deployment.leader() not in (None, leader)
+
+
+def test_a_leader_whose_process_runs_on_only_loses_its_term():
+    deployment = SimulatedDeployment(5)
+    deployment.run(seconds(3))
+    leader = deployment.leader()
+    job = deployment.submit(1, threads=3, run_s=3.0)
+    deployment.run(seconds(4))
+    other = deployment.nodes[deployment.node_names[(leader + 1) % 3]]
+    other.election.on_peer_process_ended(deployment.node_names[leader])
+    deployment.run(seconds(20))
+    assert sum(controller.is_leader for controller in deployment.nodes.values()) == 1
+    deployment.poll(job)
+    deployment.run(seconds(1))
+    assert deployment.told[job] == "done"
+
+
+def test_a_rate_limited_renewal_is_retried_before_the_lease_expires():
+    """If it were retried each quarter of the lease, four refusals would end the lease."""
+
+    class Replica:
+        loaded, mod_revisions = True, {}
+
+        def subscribe(self, on_change):
+            pass
+
+        async def catch_up(self):
+            pass
+
+    class Store:
+        renewed_at, refusals_left, pauses = seconds(0), 0, []
+
+        async def grant_lease(self, ttl):
+            return 5
+
+        async def compare_and_swap(self, conditions, writes, urgent=False):
+            return Committed(9)
+
+        async def keep_alive(self, lease):
+            assert clock.now() - self.renewed_at < seconds(4)
+            if self.refusals_left:
+                self.refusals_left -= 1
+                raise RateLimitedError("429")
+            self.renewed_at, self.refusals_left = clock.now(), 8
+
+        def pause_ordinary_requests(self, length):
+            self.pauses.append(length)
+
+    store, clock = Store(), ManualClock()
+    handlers = ElectionHandlers(on_elected=lambda term: None, on_deposed=None)
+    election = Election("me", store, Replica(), clock, seconds(4), handlers)
+    election.start()
+    for _ in range(20):
+        clock.advance(seconds(1))
+    assert election.term is not None and clock.now() - store.renewed_at < seconds(4)
+    # Ordinary requests pause until after the next retry.
+    assert store.pauses and min(store.pauses) > seconds(4 * RETRY_SHARE)
--- a/spindleglade/workers/state_writer.py
+++ b/spindleglade/workers/state_writer.py
@@ -12,7 +12,7 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from spindleglade.leadership.election import LEADER, Term
+from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.clock import ZERO, Clock, seconds, sleep
 from spindleglade.runtime.periodic_task import PeriodicTask
 from spindleglade.store.client import (
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -8,7 +8,7 @@
 from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.controller.leader import Leader
 from spindleglade.controller.pipelines import PipelineUpdater
-from spindleglade.leadership.election import Term
+from spindleglade.leadership.term import Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.store.client import Entry, Listing, encode_value
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_splitting.py
@@ -10,7 +10,7 @@
 from spindleglade.controller.leader import Leader
 from spindleglade.controller.test_leader import Learner
 from spindleglade.http.web import ClientResponse
-from spindleglade.leadership.election import LEADER, Term
+from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import NextStateLimits, StateLimits
--- a/spindleglade/workers/test_state_writer_errors.py
+++ b/spindleglade/workers/test_state_writer_errors.py
@@ -4,7 +4,7 @@
 import pytest
 
 from spindleglade.backfill.plan import Placement, Plan
-from spindleglade.leadership.election import Term
+from spindleglade.leadership.term import Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.store.client import Put, ValueTooLargeError, encode_value
 from spindleglade.submissions.records import JobRecord, job_key, range_key
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -29,7 +29,7 @@
 from spindleglade.fleet.client import CloudClient
 from spindleglade.fleet.machine_types import MORE_TYPES
 from spindleglade.http.web import HEARTBEAT_PATH, ClientResponse, HttpResponse
-from spindleglade.leadership import election, peer_messages
+from spindleglade.leadership import peer_messages, term
 from spindleglade.runtime.clock import ZERO, ManualClock
 from spindleglade.settings import operator, platform
 from spindleglade.settings.errors import SettingsError
@@ -92,8 +92,8 @@
     "controllers: relayed": Form(peer_messages.HeartbeatRelayResponse, msgspec.msgpack),
     "controllers: forward": Form(peer_messages.UserRequestForward, msgspec.msgpack),
     "controllers: forwarded": Form(peer_messages.UserRequestForwardResponse, msgspec.msgpack),
-    "records: leader": Form(election.LeaderRecord),
-    "records: token": Form(election.TokenRecord),
+    "records: leader": Form(term.LeaderRecord),
+    "records: token": Form(term.TokenRecord),
     "records: job": Form(records.JobRecord),
     "records: placement": Form(records.StoredAttempt),
     "records: chunk": Form(records.TaskRangeRecord),
@@ -119,7 +119,7 @@
 }
 
 # Structs that never leave the process.
-INTERNAL: list[type[msgspec.Struct]] = [users.MachineShape, JobView, election.Term]
+INTERNAL: list[type[msgspec.Struct]] = [users.MachineShape, JobView, term.Term]
 
 PIECES = TaskRanges(100, 250, [120, 210])
 
@@ -133,8 +133,8 @@
     "vouched": records.LEASE_RENEWALS,
     "types": records.TYPES,
     "more types": MORE_TYPES,
-    "leader": election.LEADER,
-    "token": election.TOKEN,
+    "leader": term.LEADER,
+    "token": term.TOKEN,
     "job key": records.job_key("job-17"),
     "chunk key": records.range_key("job-17", 42),
     "part key": records.overflow_range_key("job-17", 345),
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -5,7 +5,7 @@
 
 from spindleglade.backfill.distributions import History
 from spindleglade.fleet.messages import MachineTypeList
-from spindleglade.leadership import election, peer_messages
+from spindleglade.leadership import peer_messages, term
 from spindleglade.runtime.clock import seconds
 from spindleglade.submissions import records
 from tests import production, versions
@@ -31,8 +31,8 @@
     production.HISTORY: History,
     production.VOUCHED: list[str],
     production.TYPES: MachineTypeList,
-    production.LEADER: election.LeaderRecord,
-    production.TOKEN: election.TokenRecord,
+    production.LEADER: term.LeaderRecord,
+    production.TOKEN: term.TokenRecord,
 }
 
 
