--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -136,7 +136,7 @@
     assert [job for job, *_ in batch.ranges] == ["job-1"] and [job for job, _, _ in batch.done] == ["job-2"]
 
 
-@pytest.mark.parametrize("fate", ["ok", "refused", "answer lost"])
+@pytest.mark.parametrize("fate", ["ok", "not applied", "response lost"])
 def test_dependents_are_told_of_an_end_only_once_the_store_holds_it(fate):
     """What the worker reported is not enough: a start must not come before the record of what it needs. An
     end whose answer was lost is known once its record has been read back."""
@@ -159,7 +159,7 @@
     for _ in range(20):
         clock.advance(seconds(0.1))
     assert learned[0][:2] == (job_key("job-1"), 11)
-    assert (b'"finished"' in learned[0][2]) == (fate != "answer lost")
+    assert (b'"finished"' in learned[0][2]) == (fate != "response lost")
 
 
 class Replica:
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -54,7 +54,7 @@
 
     async def compare_and_swap(self, conditions, writes, urgent=False):
         fate = self.fates.pop(0) if self.fates else "ok"
-        if fate == "refused":
+        if fate == "not applied":
             raise NotAppliedError("503")
         self.sizes.append(len(msgspec.json.encode([conditions, writes])))
         assert self.sizes[-1] <= 64 * 1024 and len(writes) <= 12 and len(conditions) <= 48
@@ -67,7 +67,7 @@
                 self.mod_revisions[write.key] = self.revision
             else:
                 del self.mod_revisions[write.key]
-        if fate == "answer lost":
+        if fate == "response lost":
             raise OutcomeUnknownError("timed out")
         return Committed(self.revision)
 
@@ -107,7 +107,13 @@
 
 
 @pytest.mark.parametrize(
-    "fates", [["refused"], ["answer lost"], ["refused", "answer lost", "refused"], ["answer lost"] * 3]
+    "fates",
+    [
+        ["not applied"],
+        ["response lost"],
+        ["not applied", "response lost", "not applied"],
+        ["response lost"] * 3,
+    ],
 )
 def test_writes_that_failed_are_committed_in_the_end(fates):
     store = Store(fates)
@@ -166,8 +172,8 @@
 def test_a_cancellation_removes_a_range_whose_write_has_an_unknown_outcome():
     """Else it stays for good: a placement of a cancelled job, for which no lease may be renewed, and which
     the next leader counts against its team's limit."""
-    assert ranges_left_after_cancellation(Store(["answer lost"]), 3, 0.1) == []
-    assert ranges_left_after_cancellation(Store(["refused"]), 3, 0.1) == []
+    assert ranges_left_after_cancellation(Store(["response lost"]), 3, 0.1) == []
+    assert ranges_left_after_cancellation(Store(["not applied"]), 3, 0.1) == []
     assert ranges_left_after_cancellation(Store(), 3, 1) == []
 
 
@@ -240,32 +246,32 @@
     async def request(self, method, address, path, body=None, timeout=None):
         story = self.story
         fate = story.fates.pop(0) if story.fates else "ok"
-        if fate == "refused":
+        if fate == "not applied":
             return ClientResponse(503, b"{}")
-        if fate == "late":
+        if fate == "delayed":
             if method == "POST":
-                story.late.append((method, path, body))
+                story.delayed.append((method, path, body))
             raise NoResponseError("timed out")
-        answer = ClientResponse(*story.service.handle(method, path, body or b""))
-        if answer.status == 400:
+        response = ClientResponse(*story.service.handle(method, path, body or b""))
+        if response.status == 400:
             # Checked for each leader: it does not know what was rejected for the one before.
-            refused = (story.token, msgspec.json.encode(msgspec.json.decode(body)["writes"]))
-            assert refused not in story.too_large, "repeated unchanged"
-            story.too_large.append(refused)
-        if fate == "answer lost":
+            rejected = (story.token, msgspec.json.encode(msgspec.json.decode(body)["writes"]))
+            assert rejected not in story.too_large, "repeated unchanged"
+            story.too_large.append(rejected)
+        if fate == "response lost":
             raise NoResponseError("timed out")
         if fate == "slow":
             waiter = Deferred()
             story.clock.later(seconds(1), waiter.callback, None)
             await waiter
-        return answer
+        return response
 
 
 ANY_JOB, ANY_MACHINE = st.sampled_from(["job-1", "job-2"]), st.sampled_from(["n-1", "n-2"])
 
 
 INDICES = st.sets(st.integers(0, 4), min_size=1)
-FATES = st.lists(st.sampled_from(["ok", "slow", "refused", "answer lost", "late"]), max_size=5)
+FATES = st.lists(st.sampled_from(["ok", "slow", "not applied", "response lost", "delayed"]), max_size=5)
 
 
 class RecordsStory(RuleBasedStateMachine):
@@ -283,10 +289,10 @@
         super().__init__()
         self.clock = ManualClock()
         self.service = StateService(self.clock)
-        self.fates, self.late, self.told, self.too_large = [], [], 0, []
+        self.fates, self.delayed, self.observed, self.too_large = [], [], 0, []
         self.machines = {name: {} for name in ("n-1", "n-2")}
         self.incarnations = dict.fromkeys(self.machines, 1)
-        self.tallies = dict.fromkeys(self.machines, 0)
+        self.sequences = dict.fromkeys(self.machines, 0)
         self.tokens = dict.fromkeys(self.machines, 0)
         self.done, self.given, self.final = set(), {}, {}
         self.token, self.writer = 0, None
@@ -343,38 +349,38 @@
         self.clock.advance(seconds(length))
 
     @rule(at=st.integers(0, 3))
-    def land(self, at):
-        if self.late:
-            self.service.handle(*self.late.pop(min(at, len(self.late) - 1)))
+    def apply_delayed_request(self, at):
+        if self.delayed:
+            self.service.handle(*self.delayed.pop(min(at, len(self.delayed) - 1)))
 
     @rule(most=st.integers(1, 4))
-    def tell(self, most):
+    def show_changes(self, most):
         """Shows the next changes by the replica, which may be behind what the leader has read."""
         changes = [change for change in self.service.log if change.get("set", "").startswith(JOBS)]
-        for change in changes[self.told : self.told + most]:
+        for change in changes[self.observed : self.observed + most]:
             record = msgspec.convert(change["v"], JobRecord)
             self.cluster.observe_job(record, change["mark"], self.clock.now())
-            self.told += 1
+            self.observed += 1
         self.writer.wake()
 
     @rule(machine=ANY_MACHINE)
     def report(self, machine):
-        self.tallies[machine] += 1
+        self.sequences[machine] += 1
         tasks = [TaskStatus(*key, *how) for key, how in self.machines[machine].items()]
-        report = Heartbeat(
-            machine, "x:1", "m", "z", True, self.incarnations[machine], self.tallies[machine],
+        heartbeat = Heartbeat(
+            machine, "x:1", "m", "z", True, self.incarnations[machine], self.sequences[machine],
             self.tokens[machine], tasks,
         )  # fmt: skip
-        orders = self.cluster.on_heartbeat(report, self.clock.now(), True)
+        commands = self.cluster.on_heartbeat(heartbeat, self.clock.now(), True)
         self.tokens[machine] = self.token
-        for order in orders:
-            key, there = (order.task, order.attempt), self.machines[machine]
-            if order.operation == "start" and key not in there:
-                assert self.given.setdefault(key, machine) == machine, "an attempt given twice"
-                there[key] = ("exited", "done") if order.task in self.done else ("running",)
-            elif order.operation == "stop" and there.get(key) == ("running",):
+        for command in commands:
+            key, there = (command.task, command.attempt), self.machines[machine]
+            if command.operation == "start" and key not in there:
+                assert self.given.setdefault(key, machine) == machine, "an attempt started on two machines"
+                there[key] = ("exited", "done") if command.task in self.done else ("running",)
+            elif command.operation == "stop" and there.get(key) == ("running",):
                 there[key] = ("exited", "halted")
-            elif order.operation == "clear" and key in there:
+            elif command.operation == "clear" and key in there:
                 assert there[key][0] == "exited"
                 del there[key]
         self.writer.wake()
@@ -405,10 +411,10 @@
     def lease_ends(self, machine):
         self.machines[machine].clear()
         self.incarnations[machine] += 1
-        self.tallies[machine] = 0
+        self.sequences[machine] = 0
 
     @rule(job=ANY_JOB, chance=st.integers(0, 3))
-    def abort(self, job, chance):
+    def cancel(self, job, chance):
         if chance < 3:
             return
         record = msgspec.convert(self.service.keys[job_key(job)][0], JobRecord)
@@ -416,7 +422,7 @@
             self.write(job_key(job), JobRecord("aborted", record.spec, record.range_size))
 
     @rule(chance=st.integers(0, 3))
-    def another_leads(self, chance):
+    def leader_changes(self, chance):
         if chance == 3:
             self.lead()
 
@@ -440,9 +446,9 @@
 
     def settle(self):
         for _ in range(3):
-            while self.late:
-                self.land(0)
-            self.tell(9)
+            while self.delayed:
+                self.apply_delayed_request(0)
+            self.show_changes(9)
             for machine in self.machines:
                 self.report(machine)
             self.wait(2.0)
@@ -455,7 +461,7 @@
             for first in [*job.ranges.range_starts, *job.ranges.overflow_starts]:
                 key = job.ranges.key(job.id, first)
                 stored = self.stored(key).get(key)
-                chunk = (
+                task_range = (
                     None
                     if stored is None
                     else msgspec.json.decode(encode_value(stored), type=TaskRangeRecord)
@@ -463,11 +469,11 @@
                 end = job.ranges.end(first)
                 if job.ranges.is_overflow(first) or job.ranges.is_overflow(end):
                     # What lies beyond the next overflow range's start is stale; that stays though empty.
-                    assert (chunk or TaskRangeRecord()).restricted_to(first, end) == (
+                    assert (task_range or TaskRangeRecord()).restricted_to(first, end) == (
                         job.encode_range(first) or TaskRangeRecord()
                     )
                 else:
-                    assert chunk == job.encode_range(first)
+                    assert task_range == job.encode_range(first)
         for _ in range(3):
             for job in list(self.cluster.jobs.values()):
                 self.place(job.id, job.waiting_tasks(self.AT_ONCE), "n-1", [])
