--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -48,11 +48,12 @@
     split_range_key,
 )
 from spindleglade.submissions.views import JobViews
-from spindleglade.workers.attempts import StaleTokenError, WorkerPolicy
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
 from spindleglade.workers.cluster_state import ClusterState
 from spindleglade.workers.command_dispatcher import CommandDispatcher, DispatcherEvents
+from spindleglade.workers.errors import StaleTokenError
 from spindleglade.workers.messages import Heartbeat, HeartbeatResponse
+from spindleglade.workers.policy import WorkerPolicy
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 
 log = logging.getLogger("spindleglade.leadership")
--- a/spindleglade/controller/pipelines.py
+++ b/spindleglade/controller/pipelines.py
@@ -9,8 +9,8 @@
 from spindleglade.backfill.urgency import ChainedJob, urgencies
 from spindleglade.runtime.clock import ZERO, Clock, seconds
 from spindleglade.submissions.views import JobViews
-from spindleglade.workers.attempts import ChainMember
 from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.jobs import ChainMember
 
 # How long changes of pipelines are gathered before priorities and deadlines are passed on again.
 URGENCY_DELAY = seconds(0.2)
--- a/spindleglade/fleet/autoscaler.py
+++ b/spindleglade/fleet/autoscaler.py
@@ -38,8 +38,8 @@
 from spindleglade.runtime.clock import ZERO, Clock, seconds, sleep
 from spindleglade.runtime.periodic_task import PeriodicTask
 from spindleglade.settings.operator import FleetSettings, WorkerSettings
-from spindleglade.workers.attempts import Machine
 from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.machines import Machine
 
 log = logging.getLogger("spindleglade.fleet")
 
--- a/spindleglade/fleet/machine_types.py
+++ b/spindleglade/fleet/machine_types.py
@@ -24,7 +24,7 @@
 from spindleglade.store.replica import Replica
 from spindleglade.submissions.messages import MachineShape
 from spindleglade.submissions.records import TYPES
-from spindleglade.workers.attempts import MachineTypeCapacity
+from spindleglade.workers.machines import MachineTypeCapacity
 
 log = logging.getLogger("spindleglade.fleet")
 
--- a/spindleglade/fleet/test_fleet.py
+++ b/spindleglade/fleet/test_fleet.py
@@ -31,7 +31,7 @@
 from spindleglade.runtime.clock import ManualClock, seconds, sleep
 from spindleglade.settings import Team
 from spindleglade.settings.operator import FleetSettings, WorkerSettings
-from spindleglade.workers.attempts import Machine
+from spindleglade.workers.machines import Machine
 from spindleglade.workers.test_cluster_state import make_cluster
 
 SMALL = MachineType("s", 8.0, 32.0, 1.0, 0.3, 20.0, 50.0, 1.0, 0.0, ["a"])
--- a/spindleglade/workers/cluster_base.py
+++ b/spindleglade/workers/cluster_base.py
@@ -11,16 +11,10 @@
 
 from spindleglade.backfill.distributions import Predictor
 from spindleglade.settings.platform import Team
-from spindleglade.workers.attempts import (
-    ALL_VERSIONS,
-    PLACED,
-    WAITING,
-    Attempt,
-    Job,
-    Machine,
-    MachineTypeCapacity,
-    WorkerPolicy,
-)
+from spindleglade.workers.attempts import Attempt
+from spindleglade.workers.jobs import ALL_VERSIONS, PLACED, WAITING, Job
+from spindleglade.workers.machines import Machine, MachineTypeCapacity
+from spindleglade.workers.policy import WorkerPolicy
 
 log = logging.getLogger("spindleglade.workers")
 
--- a/spindleglade/workers/cluster_state.py
+++ b/spindleglade/workers/cluster_state.py
@@ -13,8 +13,8 @@
 import logging
 from datetime import timedelta
 
-from spindleglade.workers.attempts import Machine
 from spindleglade.workers.heartbeat_reconciliation import HeartbeatReconciliation
+from spindleglade.workers.machines import Machine
 from spindleglade.workers.persistence import Persistence
 from spindleglade.workers.planning_bridge import PlanningBridge
 
--- a/spindleglade/workers/command_dispatcher.py
+++ b/spindleglade/workers/command_dispatcher.py
@@ -18,9 +18,10 @@
 )
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import Clock
-from spindleglade.workers.attempts import Machine, StaleTokenError
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
 from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.errors import StaleTokenError
+from spindleglade.workers.machines import Machine
 from spindleglade.workers.messages import Command, CommandBatch, Heartbeat, decode_heartbeat
 
 log = logging.getLogger("spindleglade.workers")
--- a/spindleglade/workers/command_selection.py
+++ b/spindleglade/workers/command_selection.py
@@ -3,10 +3,17 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from spindleglade.workers.attempts import MAX_COMMANDS_PER_MESSAGE, Attempt, Machine
+from spindleglade.workers.attempts import Attempt
 from spindleglade.workers.cluster_base import ClusterBase
+from spindleglade.workers.machines import Machine
 from spindleglade.workers.messages import Command, split_task
 
+# Commands in one message: a line may not be longer than 64 KiB, and a task's name may take a hundred bytes.
+MAX_COMMANDS_PER_MESSAGE = 400
+
+# Commands in one message: a line may not be longer than 64 KiB, and a task's name may take a hundred bytes.
+MAX_COMMANDS_PER_MESSAGE = 400
+
 
 class CommandSelection(ClusterBase):
     def _commands_for(
--- a/spindleglade/workers/heartbeat_reconciliation.py
+++ b/spindleglade/workers/heartbeat_reconciliation.py
@@ -3,17 +3,11 @@
 import logging
 from datetime import timedelta
 
-from spindleglade.workers.attempts import (
-    DONE,
-    WAITING,
-    Attempt,
-    ExitedAttempt,
-    Job,
-    Machine,
-    StaleTokenError,
-    grace_period_s,
-)
+from spindleglade.workers.attempts import Attempt, ExitedAttempt
 from spindleglade.workers.command_selection import CommandSelection
+from spindleglade.workers.errors import StaleTokenError
+from spindleglade.workers.jobs import DONE, WAITING, Job, grace_period_s
+from spindleglade.workers.machines import Machine
 from spindleglade.workers.messages import Command, Heartbeat, TaskStatus, split_task
 
 log = logging.getLogger("spindleglade.workers")
--- a/spindleglade/workers/persistence.py
+++ b/spindleglade/workers/persistence.py
@@ -4,6 +4,7 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
+from spindleglade.runtime.clock import ZERO
 from spindleglade.store.client import encode_value
 from spindleglade.submissions.messages import RANK
 from spindleglade.submissions.records import (
@@ -15,19 +16,11 @@
     range_key,
     tasks_per_range,
 )
-from spindleglade.workers.attempts import (
-    DONE,
-    PLACED,
-    ZERO,
-    Attempt,
-    ChainMember,
-    Job,
-    Machine,
-    TaskRangeWrite,
-    WriteBatch,
-    estimate,
-)
+from spindleglade.workers.attempts import Attempt
 from spindleglade.workers.cluster_base import ClusterBase
+from spindleglade.workers.jobs import DONE, PLACED, ChainMember, Job, estimate
+from spindleglade.workers.machines import Machine
+from spindleglade.workers.write_batch import TaskRangeWrite, WriteBatch
 
 log = logging.getLogger("spindleglade.workers")
 
--- a/spindleglade/workers/planning_bridge.py
+++ b/spindleglade/workers/planning_bridge.py
@@ -6,16 +6,10 @@
 
 from spindleglade.backfill.plan import Plan
 from spindleglade.backfill.snapshot import Snapshot
-from spindleglade.workers.attempts import (
-    PLACED,
-    WAITING,
-    Attempt,
-    Job,
-    Machine,
-    MachineTypeCapacity,
-    grace_period_s,
-)
+from spindleglade.workers.attempts import Attempt
 from spindleglade.workers.cluster_base import ClusterBase
+from spindleglade.workers.jobs import PLACED, WAITING, Job, grace_period_s
+from spindleglade.workers.machines import Machine, MachineTypeCapacity
 from spindleglade.workers.messages import split_task
 from spindleglade.workers.reasons import MachineUnusableReason, PendingReason, SchedulingStall
 from spindleglade.workers.views import UNKNOWN_TYPE, job_view, machine_view
--- a/spindleglade/workers/state_writer.py
+++ b/spindleglade/workers/state_writer.py
@@ -26,8 +26,8 @@
     encode_value,
 )
 from spindleglade.submissions.records import JOBS, JobRecord, job_key
-from spindleglade.workers.attempts import WriteBatch
 from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.write_batch import WriteBatch
 from spindleglade.workers.write_batcher import WriteBatcher
 from spindleglade.workers.write_transaction import WriteTransaction, set_finished_time
 
--- a/spindleglade/workers/test_cluster_state.py
+++ b/spindleglade/workers/test_cluster_state.py
@@ -12,9 +12,12 @@
 from spindleglade.settings import Team
 from spindleglade.submissions.messages import Submission
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord
-from spindleglade.workers.attempts import PLACED, WAITING, MachineTypeCapacity, StaleTokenError, WorkerPolicy
 from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.errors import StaleTokenError
+from spindleglade.workers.jobs import PLACED, WAITING
+from spindleglade.workers.machines import MachineTypeCapacity
 from spindleglade.workers.messages import Command, Heartbeat, TaskStatus, split_task
+from spindleglade.workers.policy import WorkerPolicy
 
 TOKEN = 7
 RULES = WorkerPolicy(seconds(10), seconds(1), 2, seconds(5), seconds(60))
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -14,7 +14,7 @@
 from spindleglade.store.client import Entry, Listing, encode_value
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, job_key
 from spindleglade.submissions.views import JobViews
-from spindleglade.workers.attempts import WAITING
+from spindleglade.workers.jobs import WAITING
 from spindleglade.workers.messages import Command
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from spindleglade.workers.test_cluster_state import RULES, TOKEN, Harness, spec
--- a/spindleglade/workers/test_reasons.py
+++ b/spindleglade/workers/test_reasons.py
@@ -6,7 +6,7 @@
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.runtime.log_throttle import LogThrottle
 from spindleglade.submissions.records import JobRecord
-from spindleglade.workers.attempts import MachineTypeCapacity
+from spindleglade.workers.machines import MachineTypeCapacity
 from spindleglade.workers.reasons import MachineUnusableReason, PendingReason
 from spindleglade.workers.test_cluster_state import Harness, spec
 
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_splitting.py
@@ -17,7 +17,7 @@
 from spindleglade.store.client import StateClient
 from spindleglade.submissions.records import JobRecord, job_key, range_key
 from spindleglade.submissions.views import JobViews
-from spindleglade.workers.attempts import DONE
+from spindleglade.workers.jobs import DONE
 from spindleglade.workers.messages import Heartbeat, split_task
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
--- a/spindleglade/workers/test_state_writer_errors.py
+++ b/spindleglade/workers/test_state_writer_errors.py
@@ -8,7 +8,7 @@
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.store.client import Put, ValueTooLargeError, encode_value
 from spindleglade.submissions.records import JobRecord, job_key, range_key
-from spindleglade.workers.attempts import DONE
+from spindleglade.workers.jobs import DONE
 from spindleglade.workers.messages import Heartbeat
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
--- a/spindleglade/workers/views.py
+++ b/spindleglade/workers/views.py
@@ -3,7 +3,8 @@
 from datetime import timedelta
 
 from spindleglade.backfill.snapshot import JobView, MachineView, RunningTask
-from spindleglade.workers.attempts import Job, Machine, MachineTypeCapacity, estimate
+from spindleglade.workers.jobs import Job, estimate
+from spindleglade.workers.machines import Machine, MachineTypeCapacity
 
 # Of a machine whose type is not known.
 UNKNOWN_TYPE = MachineTypeCapacity(0.0, 0.0, 0.0, 0.0, 1.0)
--- a/spindleglade/workers/write_batcher.py
+++ b/spindleglade/workers/write_batcher.py
@@ -3,8 +3,8 @@
 import logging
 
 from spindleglade.store.client import StateClient
-from spindleglade.workers.attempts import WriteBatch
 from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.write_batch import WriteBatch
 from spindleglade.workers.write_transaction import BatchValue, batch_values
 
 log = logging.getLogger("spindleglade.workers")
--- a/spindleglade/workers/write_transaction.py
+++ b/spindleglade/workers/write_transaction.py
@@ -8,7 +8,7 @@
 from spindleglade.leadership.election import LEADER
 from spindleglade.store.client import Condition, Delete, Put, encode_value
 from spindleglade.submissions.records import job_key
-from spindleglade.workers.attempts import TaskRangeWrite, WriteBatch
+from spindleglade.workers.write_batch import TaskRangeWrite, WriteBatch
 
 
 class BatchValue(NamedTuple):
