--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -361,7 +361,7 @@
         before = self.cluster.change_count
         holds = self._cancellation_freshness.permits_renewals
         try:
-            orders = self.cluster.on_heartbeat(report, self._clock.now(), asked=holds)
+            orders = self.cluster.on_heartbeat(report, self._clock.now(), renews_lease=holds)
         except StaleTokenError as error:
             self._on_deposed(str(error))
             return None
--- a/spindleglade/workers/attempts.py
+++ b/spindleglade/workers/attempts.py
@@ -1,11 +1,11 @@
-"""Attempts of tasks on machines: their states, why they stop and how they end."""
+"""Attempts of tasks on machines: why they stop and how they end."""
 
 from dataclasses import dataclass
 from datetime import timedelta
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from spindleglade.workers.messages import task_name
+from spindleglade.workers.messages import TaskState, task_name
 
 if TYPE_CHECKING:
     from spindleglade.workers.jobs import Job
@@ -14,15 +14,6 @@
 AttemptKey = tuple[str, int]
 
 
-class TaskState(StrEnum):
-    """What a worker says of an attempt; the values are those on the wire."""
-
-    FETCHING = "pulling"
-    RUNNING = "running"
-    SAVING = "saving"
-    EXITED = "exited"
-
-
 class ExitCause(StrEnum):
     """Why a worker says that an attempt has exited; the values are those on the wire."""
 
--- a/spindleglade/workers/command_dispatcher.py
+++ b/spindleglade/workers/command_dispatcher.py
@@ -99,7 +99,7 @@
         if self._stopped:
             return
         for machine, incarnation, commands in self._cluster.take_direct_commands(
-            self._clock.now(), self._cancellation_freshness.permits_renewals
+            self._cancellation_freshness.permits_renewals
         ):
             run_in_background(self._send_commands(machine, incarnation, commands), "command dispatch")
 
@@ -176,7 +176,7 @@
             return None
         try:
             heartbeat = decode_heartbeat(response.body)
-            self._cluster.on_heartbeat(heartbeat, self._clock.now(), asked=False)
+            self._cluster.on_heartbeat(heartbeat, self._clock.now(), renews_lease=False)
         except msgspec.DecodeError as error:
             log.warning("response malformed address=%s reason=%s", address, error)
             return None
--- a/spindleglade/workers/command_selection.py
+++ b/spindleglade/workers/command_selection.py
@@ -1,173 +1,189 @@
-"""What workers are told, with the answer to a report or straight, and whether it reaches them."""
+"""Which commands a machine gets, in the response to a heartbeat or directly, and whether they reach it."""
 
 from collections.abc import Iterable
 from datetime import timedelta
+from typing import NamedTuple
 
-from spindleglade.workers.attempts import Attempt
-from spindleglade.workers.cluster_base import ClusterBase
-from spindleglade.workers.machines import Machine
-from spindleglade.workers.messages import Command, split_task
+from spindleglade.workers.attempts import FETCHING, RUNNING, SAVING, Attempt
+from spindleglade.workers.cluster_data import ClusterData
+from spindleglade.workers.machines import Machine, MachineReachability
+from spindleglade.workers.messages import Command, Operation, split_task
+from spindleglade.workers.state_changes import StateChanges
 
 # Commands in one message: a line may not be longer than 64 KiB, and a task's name may take a hundred bytes.
 MAX_COMMANDS_PER_MESSAGE = 400
 
+# Class access to a member of an enumeration is slow in Python 3.11, and these are used for each attempt.
+_START, _STOP, _FORGET = Operation.START, Operation.STOP, Operation.FORGET
+
 # Commands in one message: a line may not be longer than 64 KiB, and a task's name may take a hundred bytes.
 MAX_COMMANDS_PER_MESSAGE = 400
 
 
-class CommandSelection(ClusterBase):
-    def _commands_for(
-        self, machine: Machine, now: timedelta, sequence: int | None, starts: bool = True
-    ) -> list[Command]:
-        """What to tell the machine now. `tally` is that of the report being answered, None for a message of
-        our own; starts already under way one way are not sent another."""
-        orders = self._pending_commands(machine)
+class DirectCommands(NamedTuple):
+    """Commands to send directly to a machine, valid for one incarnation of it."""
+
+    machine: Machine
+    incarnation: int
+    commands: list[Command]
+
+
+class CommandSelection:
+    """Selects commands and observes what becomes of them. Called with the lock held."""
+
+    def __init__(self, data: ClusterData, changes: StateChanges) -> None:
+        self._data = data
+        self._changes = changes
+
+    def commands_for(self, machine: Machine, sequence: int | None, starts: bool = True) -> list[Command]:
+        """The commands for the machine now. `sequence` is that of the heartbeat being answered, None for a
+        direct message; a start already under way one way is not sent another."""
+        commands = self._pending_commands(machine)
         if not starts:
-            return orders
-        for assignment in machine.placed.values():
-            if len(orders) >= MAX_COMMANDS_PER_MESSAGE:
+            return commands
+        for attempt in machine.placed.values():
+            if len(commands) >= MAX_COMMANDS_PER_MESSAGE:
                 break
-            if not self._may_start(machine, assignment):
+            if not self._may_start(machine, attempt):
                 continue
-            orders.append(Command("start", assignment.task, assignment.attempt))
+            commands.append(Command(_START, attempt.task, attempt.attempt))
             if sequence is None:
-                assignment.starts_in_flight += 1
-                assignment.started_directly = True
+                attempt.starts_in_flight += 1
+                attempt.started_directly = True
             else:
-                assignment.start_sent_with_sequence = sequence
-        return orders
+                attempt.start_sent_with_sequence = sequence
+        return commands
 
     def _pending_commands(self, machine: Machine) -> list[Command]:
-        """Clears and stops; what does not fit is told the next time."""
-        orders: list[Command] = []
-        if machine.acknowledged_token:
-            for (task, attempt), exited in machine.exited.items():
-                # After `clear` a start that lands late would start the task again.
-                if (
-                    exited.is_recorded
-                    and not exited.never_forget
-                    and (task, attempt) not in machine.unacknowledged_starts
-                ):
-                    orders.append(Command("clear", task, attempt))
-            for (task, attempt), state in machine.unexpected_attempts.items():
-                if state != "saving":
-                    orders.append(Command("stop", task, attempt, 0.0))
-        for assignment in machine.placed.values():
+        """Commands to forget and to stop attempts; what does not fit is sent the next time."""
+        commands = self._forget_and_stop_unexpected(machine) if machine.acknowledged_token else []
+        for attempt in machine.placed.values():
             if (
-                assignment.incarnation == machine.incarnation
-                and assignment.stop_reason is not None
-                and assignment.is_confirmed
-                and not (assignment.state == "saving" and assignment.grace_period_s > 0)
+                attempt.incarnation == machine.incarnation
+                and attempt.stop_reason is not None
+                and attempt.is_confirmed
+                and not (attempt.state == SAVING and attempt.grace_period_s > 0)
             ):
-                orders.append(Command("stop", assignment.task, assignment.attempt, assignment.grace_period_s))
-        return orders[:MAX_COMMANDS_PER_MESSAGE]
+                commands.append(Command(_STOP, attempt.task, attempt.attempt, attempt.grace_period_s))
+        return commands[:MAX_COMMANDS_PER_MESSAGE]
 
     @staticmethod
-    def _may_start(machine: Machine, assignment: Attempt) -> bool:
+    def _forget_and_stop_unexpected(machine: Machine) -> list[Command]:
+        commands: list[Command] = []
+        for (task, attempt), exited in machine.exited.items():
+            # Once an attempt is forgotten, a start that arrives late would start the task again.
+            if (
+                exited.is_recorded
+                and not exited.never_forget
+                and (task, attempt) not in machine.unacknowledged_starts
+            ):
+                commands.append(Command(_FORGET, task, attempt))
+        for (task, attempt), state in machine.unexpected_attempts.items():
+            if state != SAVING:
+                commands.append(Command(_STOP, task, attempt, 0.0))
+        return commands
+
+    @staticmethod
+    def _may_start(machine: Machine, attempt: Attempt) -> bool:
         return (
             machine.acknowledged_token
             and not machine.terminating
-            and assignment.incarnation == machine.incarnation
-            and assignment.stop_reason is None
-            and not assignment.is_confirmed
-            and not assignment.starts_in_flight
-            and assignment.start_sent_with_sequence is None
-            and assignment.is_recorded
-            and assignment.job.is_open
-            and assignment.job.released
+            and attempt.incarnation == machine.incarnation
+            and attempt.stop_reason is None
+            and not attempt.is_confirmed
+            and not attempt.starts_in_flight
+            and attempt.start_sent_with_sequence is None
+            and attempt.is_recorded
+            and attempt.job.is_open
+            and attempt.job.released
         )
 
-    def take_direct_commands(
-        self, now: timedelta, starts: bool = True
-    ) -> list[tuple[Machine, int, list[Command]]]:
-        """Orders to send straight to machines: those that bear no waiting for the next report. Without
-        `starts` no task is started: its job may be cancelled by now, and this leader not know. Stops do no
-        harm at any time."""
-        found = []
-        with self.lock:
-            due, self.dispatch_queue = self.dispatch_queue, {}
-            for name in due:
-                machine = self.machines.get(name)
-                if (
-                    machine is None
-                    or machine.command_in_flight
-                    or machine.terminating
-                    or machine.unreachable_since is not None
-                    or not machine.address
-                    or not machine.acknowledged_token
-                    or not any(
-                        self._needs_direct_command(machine, assignment)
-                        for assignment in machine.placed.values()
-                    )
-                ):
-                    continue
-                orders = self._commands_for(machine, now, None, starts)
-                if not starts:
-                    # What is withheld is looked at again once this leader knows enough.
-                    self.dispatch_queue[name] = None
-                if orders:
-                    machine.command_in_flight, machine.reconciled_tasks = True, None
-                    found.append((machine, machine.incarnation, orders))
-        return found
+    def take_direct_commands(self, starts: bool) -> list[DirectCommands]:
+        """The commands that cannot wait for the next heartbeat. Without `starts` no task is started: its job
+        may be cancelled by now without this leader's knowledge. Stops do no harm at any time."""
+        selected = []
+        queue = self._data.dispatch_queue
+        names = list(queue)
+        queue.clear()
+        for name in names:
+            machine = self._data.machines.get(name)
+            if machine is None or not self._accepts_direct_commands(machine):
+                continue
+            if not any(self._needs_direct_command(machine, attempt) for attempt in machine.placed.values()):
+                continue
+            commands = self.commands_for(machine, None, starts)
+            if not starts:
+                # The starts that are withheld are selected once this leader knows enough.
+                queue[name] = None
+            if commands:
+                machine.command_in_flight, machine.reconciled_tasks = True, None
+                selected.append(DirectCommands(machine, machine.incarnation, commands))
+        return selected
 
-    def _needs_direct_command(self, machine: Machine, assignment: Attempt) -> bool:
-        if assignment.incarnation != machine.incarnation:
+    @staticmethod
+    def _accepts_direct_commands(machine: Machine) -> bool:
+        return (
+            not machine.command_in_flight
+            and not machine.terminating
+            and machine.unreachable_since is None
+            and bool(machine.address)
+            and machine.acknowledged_token
+        )
+
+    def _needs_direct_command(self, machine: Machine, attempt: Attempt) -> bool:
+        if attempt.incarnation != machine.incarnation:
             return False
-        if assignment.stop_reason is not None:
-            return assignment.is_confirmed and assignment.state in ("running", "pulling")
-        key = (assignment.task, assignment.attempt)
-        return key not in machine.unacknowledged_starts and self._may_start(machine, assignment)
+        if attempt.stop_reason is not None:
+            return attempt.is_confirmed and attempt.state in (RUNNING, FETCHING)
+        key = (attempt.task, attempt.attempt)
+        return key not in machine.unacknowledged_starts and self._may_start(machine, attempt)
 
     def on_commands_sent(
-        self, machine: Machine, orders: Iterable[Command], unsure: bool, now: timedelta, reached: bool = True
+        self,
+        machine: Machine,
+        commands: Iterable[Command],
+        outcome_unknown: bool,
+        now: timedelta,
+        connected: bool,
     ) -> None:
-        """What became of orders sent straight to a machine: answered or never sent, or else unsure; `reached`
-        is false where not even a connection was made."""
-        with self.lock:
-            machine.command_in_flight = False
-            self.dispatch_queue[machine.name] = None
-            if unsure or not reached:
-                machine.last_command_unanswered_at = now
-                self._mark_unreachable(machine, now, "does not answer orders")
-            for order in orders:
-                if order.operation != "start":
-                    continue
-                if unsure:
-                    machine.unacknowledged_starts[(order.task, order.attempt)] = now
-                job_id, index = split_task(order.task)
-                assignment = machine.placed.get((job_id, index))
-                if assignment is not None and assignment.attempt == order.attempt:
-                    assignment.starts_in_flight = 0
+        """Direct commands were answered or never sent, unless their outcome is unknown; `connected` is false
+        where not even a connection was made."""
+        machine.command_in_flight = False
+        self._data.dispatch_queue[machine.name] = None
+        if outcome_unknown or not connected:
+            machine.last_command_unanswered_at = now
+            self._changes.mark_unreachable(machine, now, "commands unanswered")
+        for command in commands:
+            if command.operation != _START:
+                continue
+            if outcome_unknown:
+                machine.unacknowledged_starts[(command.task, command.attempt)] = now
+            attempt = machine.placed.get(split_task(command.task))
+            if attempt is not None and attempt.attempt == command.attempt:
+                attempt.starts_in_flight = 0
 
     def on_machine_reached(self, machine: Machine, now: timedelta) -> None:
         """A message has reached the machine: it answered one, or did what one said."""
-        with self.lock:
-            machine.unreachable_since = None
-            machine.last_command_answered_at = now
-            self.dispatch_queue[machine.name] = None
-
-    def reachability(self, now: timedelta) -> tuple[list[Machine], list[Machine], list[Machine]]:
-        """The machines heard of late, by what became of the latest message straight to them: unanswered,
-        answered, and those that got none of late."""
-        window = self.policy.lease / 2
-        unanswered, answered, untried = [], [], []
-        with self.lock:
-            for machine in self.machines.values():
-                if not machine.address or not self._is_recent(machine.last_heartbeat_at, now):
-                    continue
-                failed = (
-                    machine.last_command_unanswered_at is not None
-                    and now - machine.last_command_unanswered_at <= window
-                )
-                worked = (
-                    machine.last_command_answered_at is not None
-                    and now - machine.last_command_answered_at <= window
-                )
-                if failed and (
-                    machine.last_command_answered_at is None
-                    or machine.last_command_answered_at < machine.last_command_unanswered_at
-                ):
-                    unanswered.append(machine)
-                else:
-                    (answered if worked else untried).append(machine)
-        return unanswered, answered, untried
+        machine.unreachable_since = None
+        machine.last_command_answered_at = now
+        self._data.dispatch_queue[machine.name] = None
+
+    def reachability(self, now: timedelta) -> MachineReachability:
+        """The machines with recent heartbeats, by the outcome of the latest message sent directly to them."""
+        window = self._data.policy.lease / 2
+        found = MachineReachability([], [], [])
+        for machine in self._data.machines.values():
+            if not machine.address or not self._data.policy.is_recent(machine.last_heartbeat_at, now):
+                continue
+            answered_at, unanswered_at = machine.last_command_answered_at, machine.last_command_unanswered_at
+            if (
+                unanswered_at is not None
+                and now - unanswered_at <= window
+                and (answered_at is None or answered_at < unanswered_at)
+            ):
+                found.unanswered.append(machine)
+            elif answered_at is not None and now - answered_at <= window:
+                found.answered.append(machine)
+            else:
+                found.untried.append(machine)
+        return found
--- /dev/null
+++ b/spindleglade/workers/job_updates.py
@@ -0,0 +1,112 @@
+"""Jobs in memory follow their records in the store and the jobs that they depend on."""
+
+from collections.abc import Iterable
+from datetime import timedelta
+
+from spindleglade.submissions.messages import RANK
+from spindleglade.submissions.records import JobRecord, JobState
+from spindleglade.workers.attempts import EndReason, StopReason
+from spindleglade.workers.cluster_data import ClusterData
+from spindleglade.workers.jobs import ChainMember, Job, estimate
+from spindleglade.workers.state_changes import StateChanges
+
+
+class JobUpdates:
+    """Applies what is on record of jobs. Called with the lock held."""
+
+    def __init__(self, data: ClusterData, changes: StateChanges) -> None:
+        self._data = data
+        self._changes = changes
+
+    def observe_job(self, record: JobRecord, mod_revision: int, now: timedelta, age: timedelta) -> None:
+        """A job record, from the first reading or from a later change; `age` is the time since the job was
+        accepted."""
+        job = self._data.jobs.get(record.spec.id)
+        if job is None:
+            if record.state != JobState.DONE:
+                self._add_job(record, mod_revision, now - age)
+            return
+        if mod_revision <= job.mod_revision:
+            return
+        job.mod_revision = mod_revision
+        self._data.change_count += 1
+        if record.state == JobState.DONE and not job.finished:
+            # This leader's own write, observed before its response came.
+            self._changes.finish_job(job)
+        elif record.state == JobState.CANCELLED and not job.cancelled:
+            self._cancel_job(job)
+
+    def _add_job(self, record: JobRecord, mod_revision: int, accepted_at: timedelta) -> None:
+        job = self._data.jobs[record.spec.id] = Job(record, mod_revision)
+        job.waiting_since = accepted_at
+        if job.spec.deadline_s is not None:
+            job.deadline = accepted_at + timedelta(seconds=job.spec.deadline_s)
+        self._data.change_count += 1
+        # One that was over and forgotten before the replica observed this record is forgotten again.
+        self._changes.queue_removal(job)
+
+    def cancel_through_dependency(self, job_id: str) -> None:
+        """A dependency of the job is cancelled, and so is the job, though its own record does not say so."""
+        job = self._data.jobs.get(job_id)
+        if job is not None and job.is_open:
+            self._data.change_count += 1
+            self._cancel_job(job)
+
+    def _cancel_job(self, job: Job) -> None:
+        job.cancelled = True
+        for attempt in job.placed.values():
+            self._changes.stop_attempt(attempt, StopReason.CANCELLED, 0.0)
+        self._changes.end_unsent_attempts(job, EndReason.CANCELLED_BEFORE_START)
+        self._changes.queue_removal(job)
+
+    def release_job(self, job_id: str, now: timedelta, age: timedelta) -> None:
+        """All dependencies of the job are on record as done, since `age`: its tasks may start from now on."""
+        job = self._data.jobs.get(job_id)
+        if job is not None and not job.released:
+            job.released = True
+            # A job that has had starts was read later than its release: the time of the latest start is not
+            # on record.
+            job.waiting_since = max(job.waiting_since, now - age)
+            self._data.change_count += 1
+
+    def set_has_dependents(self, job_id: str, has_dependents: bool) -> None:
+        """Whether other jobs wait for this one, so that its end is recorded before others."""
+        job = self._data.jobs.get(job_id)
+        if job is not None:
+            job.has_dependents = has_dependents
+
+    def chain_members(self, names: Iterable[str]) -> dict[str, ChainMember]:
+        """Those of the named jobs that are open."""
+        jobs = [self._data.jobs[name] for name in names if name in self._data.jobs]
+        return {
+            job.id: ChainMember(RANK[job.spec.priority], job.deadline, job.spec.team, estimate(job.spec))
+            for job in jobs
+            if job.is_open
+        }
+
+    def set_urgency(self, job_id: str, rank: int, latest_start: timedelta | None) -> None:
+        """What the job takes over from the jobs that need it."""
+        job = self._data.jobs.get(job_id)
+        if job is None:
+            return
+        job.latest_start = latest_start
+        if job.rank != rank:
+            job.rank = rank
+            for attempt in job.placed.values():
+                machine = self._data.machines.get(attempt.machine)
+                if machine is not None:
+                    self._changes.mark_machine_changed(machine)
+
+    def on_job_recorded_done(self, job_id: str, mod_revision: int) -> None:
+        """The record says that the job is done."""
+        job = self._data.jobs.get(job_id)
+        if job is not None and not job.finished:
+            job.mod_revision = max(job.mod_revision, mod_revision)
+            self._changes.finish_job(job)
+
+    def forget_job(self, job_id: str) -> None:
+        """All task ranges of a job that is over are removed from the store."""
+        job = self._data.jobs.get(job_id)
+        if job is not None and not job.is_open and not job.placed:
+            job.mark_all_committed()
+            del self._data.jobs[job_id]
--- a/spindleglade/workers/jobs.py
+++ b/spindleglade/workers/jobs.py
@@ -4,7 +4,13 @@
 from typing import NamedTuple
 
 from spindleglade.submissions.messages import RANK, Submission
-from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, consecutive_runs
+from spindleglade.submissions.records import (
+    JobRecord,
+    JobState,
+    StoredAttempt,
+    TaskRangeRecord,
+    consecutive_runs,
+)
 from spindleglade.submissions.task_ranges import TaskRanges
 from spindleglade.workers.attempts import Attempt
 
@@ -87,9 +93,9 @@
         self.attempts: dict[int, int] = {}
         self.placed: dict[int, Attempt] = {}
         self.done = 0
-        self.cancelled = record.state == "aborted"
+        self.cancelled = record.state == JobState.CANCELLED
         # The record says done or cancelled; nothing more will be placed.
-        self.finished = record.state == "done"
+        self.finished = record.state == JobState.DONE
         self.versions: dict[int, int] = {}
         self.committed_versions: dict[int, int] = {}
         self.paused_until = timedelta(0)
@@ -125,6 +131,11 @@
         """The latest version of that task range that the store holds."""
         return self.committed_versions.get(self.ranges.start(index), 0)
 
+    def mark_all_committed(self) -> None:
+        """Nothing of the job waits to be written any more."""
+        for first_task in [*self.ranges.range_starts, *self.ranges.overflow_starts]:
+            self.committed_versions[first_task] = ALL_VERSIONS
+
     def split_range(self, start: int, width: int) -> list[int]:
         """Splits a task range into ranges of `width` tasks at most, and returns the first task of each. What
         of it is committed stays so: the value in the store speaks for these tasks until the overflow ranges
--- a/spindleglade/workers/test_cluster_state.py
+++ b/spindleglade/workers/test_cluster_state.py
@@ -95,7 +95,7 @@
         return self.cluster.jobs["job-1"].task_states[index]
 
     def direct(self):
-        return [order for _, _, orders in self.cluster.take_direct_commands(self.now) for order in orders]
+        return [order for _, _, orders in self.cluster.take_direct_commands() for order in orders]
 
     def sent(self, orders, unsure):
         self.cluster.on_commands_sent(self.cluster.machines["n-1"], orders, unsure, self.now)
@@ -315,9 +315,9 @@
     harness.cluster.observe_job(JobRecord("open", spec("job-2", 20), 1), 2)
     harness.report()
     for index in range(20):
-        harness.cluster._mark_task_changed(harness.cluster.jobs["job-2"], index)
+        harness.cluster._changes.mark_task_changed(harness.cluster.jobs["job-2"], index)
     harness.place()
-    batch = harness.cluster.collect_writes(5, {}, spare=2)
+    batch = harness.cluster.collect_writes(5, {}, max_background_operations=2)
     assert [(write.job, write.first_task) for write in batch.ranges][0] == ("job-1", 0)
     assert len(batch.ranges) == 3
 
@@ -654,7 +654,7 @@
 
     @rule(fate=st.sampled_from(["answered", "answer lost", "late", "lost"]))
     def send(self, fate):
-        for machine, incarnation, orders in self.harness.cluster.take_direct_commands(self.harness.now):
+        for machine, incarnation, orders in self.harness.cluster.take_direct_commands():
             if fate in ("answered", "answer lost") and incarnation == self.incarnation:
                 self.token = TOKEN
                 self.obey(orders)
--- a/spindleglade/workers/test_command_dispatcher.py
+++ b/spindleglade/workers/test_command_dispatcher.py
@@ -80,8 +80,8 @@
     harness.report()
     harness.place()
     harness.record()
-    assert harness.cluster.take_direct_commands(harness.now, starts=False) == []
-    assert [commands for _, _, commands in harness.cluster.take_direct_commands(harness.now)] == [START]
+    assert harness.cluster.take_direct_commands(starts=False) == []
+    assert [commands for _, _, commands in harness.cluster.take_direct_commands()] == [START]
 
 
 def test_commands_whose_sending_raises_are_not_in_flight_for_ever():
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -73,7 +73,7 @@
     harness.cluster.load_range(
         "job-2", 0, TaskRangeRecord(placed={0: StoredAttempt(3, "n-1", 1)}), harness.now
     )
-    assert harness.report() == [] and not harness.cluster.take_direct_commands(harness.now)
+    assert harness.report() == [] and not harness.cluster.take_direct_commands()
     harness.cluster.release_job("job-2", harness.now, timedelta(0))
     assert harness.report() == [Command("start", "job-2/0", 3)]
 
@@ -119,7 +119,7 @@
     job = harness.cluster.jobs[id]
     for index in range(len(job.task_states)):
         job.task_states[index], job.done = 2, job.done + 1
-        harness.cluster._mark_task_changed(job, index)
+        harness.cluster._changes.mark_task_changed(job, index)
 
 
 def test_the_end_of_a_job_that_others_wait_for_is_recorded_ahead_of_all_else():
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_splitting.py
@@ -204,8 +204,8 @@
     """Starts that may be on their way would be taken for never sent when their job is aborted."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
-    cluster._mark_task_changed(job, 0)
-    assert cluster.collect_writes(2, stored, value_bytes=460).size == 2 and job.ranges.overflow_starts
+    cluster._changes.mark_task_changed(job, 0)
+    assert cluster.collect_writes(2, stored, max_value_bytes=460).size == 2 and job.ranges.overflow_starts
     assert all(assignment.is_recorded for assignment in job.placed.values())
     cluster.observe_job(JobRecord("aborted", spec(tasks=40), 64), 9)
     assert len(job.placed) == 40
@@ -215,8 +215,8 @@
     """One that landed after the removal stayed for good, with placements."""
     cluster, stored = recorded_job(40)
     cluster.observe_job(JobRecord("aborted", spec(tasks=40), 64), 9)
-    cluster._mark_task_changed(cluster.jobs["job-1"], 0)
-    writes = cluster.collect_writes(2, stored, value_bytes=460).ranges
+    cluster._changes.mark_task_changed(cluster.jobs["job-1"], 0)
+    writes = cluster.collect_writes(2, stored, max_value_bytes=460).ranges
     assert [write.first_task for write in writes] == [35, 28] and all(write.value for write in writes)
     assert all(
         write.required_key == range_key("job-1", 0) and write.job_mod_revision is None for write in writes
@@ -227,9 +227,9 @@
     """Without it the stale entries of the value to its left would count for its tasks again."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
-    cluster._mark_task_changed(job, 0)
+    cluster._changes.mark_task_changed(job, 0)
     # The last tasks were never tried.
     for index in range(35, 40):
         job.placed.pop(index), job.attempts.pop(index)
-    (write,) = cluster.collect_writes(1, stored, value_bytes=460).ranges
+    (write,) = cluster.collect_writes(1, stored, max_value_bytes=460).ranges
     assert (write.first_task, bytes(write.value)) == (35, b"{}")
--- a/spindleglade/workers/test_state_writer_errors.py
+++ b/spindleglade/workers/test_state_writer_errors.py
@@ -46,7 +46,7 @@
     cluster.apply_plan(Plan(placements=[Placement(job, 0, "n-1") for job in STARTING]), now)
     ended = cluster.jobs[DONE_JOB]
     ended.task_states[0], ended.done = DONE, 1
-    cluster._mark_task_changed(ended, 0)
+    cluster._changes.mark_task_changed(ended, 0)
     mod_revisions = {range_key(CANCELLED_JOB, 0): 9}
     store.mod_revisions |= mod_revisions
     return cluster, store, mod_revisions
--- a/spindleglade/workers/views.py
+++ b/spindleglade/workers/views.py
@@ -1,8 +1,10 @@
-"""The cluster state as planning sees it."""
+"""Views of machines and jobs that planning works on."""
 
 from datetime import timedelta
+from typing import NamedTuple
 
 from spindleglade.backfill.snapshot import JobView, MachineView, RunningTask
+from spindleglade.workers.attempts import FETCHING, RUNNING, Attempt
 from spindleglade.workers.jobs import Job, estimate
 from spindleglade.workers.machines import Machine, MachineTypeCapacity
 
@@ -10,71 +12,80 @@
 UNKNOWN_TYPE = MachineTypeCapacity(0.0, 0.0, 0.0, 0.0, 1.0)
 
 
-def machine_view(machine: Machine, kind: MachineTypeCapacity) -> MachineView:
+class JobCircumstances(NamedTuple):
+    """What planning takes into account of a job besides its own state."""
+
+    # CPUs that one pass could at most fill.
+    max_cpus: float
+    is_overdue: bool
+    # Machines that a waiting task must not be placed on, by task number.
+    excluded_machines: dict[int, set[str]]
+    # One task is tried alone.
+    is_probe: bool
+    # Jobs that need it miss their deadlines unless it starts now.
+    is_urgent: bool
+
+
+def machine_view(machine: Machine, capacity: MachineTypeCapacity) -> MachineView:
+    """The machine with its tasks and images; whether it is usable is set by the caller."""
     tasks = []
     fetching = set()
-    for assignment in machine.placed.values():
-        spec = assignment.job.spec
-        if assignment.state == "pulling" and spec.image not in machine.images:
-            fetching.add(spec.image)
-        since = None
-        if assignment.state == "running":
-            since = assignment.running_since or assignment.placed_at
-        tasks.append(
-            RunningTask(
-                spec.id,
-                assignment.index,
-                spec.team,
-                assignment.job.rank,
-                spec.cpus,
-                spec.gpus,
-                spec.memory_gb,
-                estimate(spec),
-                since,
-                timedelta(seconds=spec.save_s) if spec.checkpoint_s > 0 else None,
-                assignment.stop_reason is not None,
-                assignment.started_overdue,
-            )
-        )
+    for attempt in machine.placed.values():
+        image = attempt.job.spec.image
+        if attempt.state == FETCHING and image not in machine.images:
+            fetching.add(image)
+        tasks.append(_running_task(attempt))
     return MachineView(
         machine.name,
         machine.type,
         machine.zone,
         machine.spot,
-        kind.cpus,
-        kind.gpus,
-        kind.memory,
-        kind.pull_gb_per_s,
+        capacity.cpus,
+        capacity.gpus,
+        capacity.memory,
+        capacity.pull_gb_per_s,
         tasks,
         set(machine.images),
         fetching,
     )
 
 
-def job_view(
-    job: Job,
-    machines: dict[str, Machine],
-    room: float,
-    overdue: bool,
-    excluded_machines: dict[int, set[str]],
-    is_probe: bool = False,
-    is_urgent: bool = False,
-) -> JobView:
-    """`room`: CPUs that one round could at most fill."""
+def _running_task(attempt: Attempt) -> RunningTask:
+    spec = attempt.job.spec
+    running_since = None
+    if attempt.state == RUNNING:
+        running_since = attempt.running_since or attempt.placed_at
+    return RunningTask(
+        spec.id,
+        attempt.index,
+        spec.team,
+        attempt.job.rank,
+        spec.cpus,
+        spec.gpus,
+        spec.memory_gb,
+        estimate(spec),
+        running_since,
+        timedelta(seconds=spec.save_s) if spec.checkpoint_s > 0 else None,
+        attempt.stop_reason is not None,
+        attempt.started_overdue,
+    )
+
+
+def job_view(job: Job, machines: dict[str, Machine], circumstances: JobCircumstances) -> JobView:
+    """The job with as many of its waiting tasks as may be of use in one pass."""
     spec = job.spec
-    most = 1 if is_probe else int(room / spec.cpus) + 1
-    zones: dict[str, int] = {}
-    if spec.one_zone or spec.spread:
-        for assignment in job.placed.values():
-            machine = machines.get(assignment.machine)
-            zone = machine.zone if machine is not None else ""
-            zones[zone] = zones.get(zone, 0) + 1
+    if spec.is_gang:
+        max_tasks = len(job.task_states)
+    elif circumstances.is_probe:
+        max_tasks = 1
+    else:
+        max_tasks = int(circumstances.max_cpus / spec.cpus) + 1
     return JobView(
         job.id,
         spec.team,
         spec.job_class,
         job.rank,
-        job.waiting_tasks(len(job.task_states) if spec.is_gang else most),
+        job.waiting_tasks(max_tasks),
         spec.tasks,
         spec.cpus,
         spec.gpus,
@@ -87,11 +98,21 @@
         spec.spread,
         spec.spot,
         estimate(spec),
-        zones,
+        _tasks_by_zone(job, machines) if spec.one_zone or spec.spread else {},
         spec.is_gang and not job.placed,
-        overdue,
+        circumstances.is_overdue,
         frozenset(job.avoided_machines),
-        excluded_machines,
-        is_probe,
-        is_urgent,
+        circumstances.excluded_machines,
+        circumstances.is_probe,
+        circumstances.is_urgent,
     )
+
+
+def _tasks_by_zone(job: Job, machines: dict[str, Machine]) -> dict[str, int]:
+    """How many tasks of the job are placed in each zone."""
+    zones: dict[str, int] = {}
+    for attempt in job.placed.values():
+        machine = machines.get(attempt.machine)
+        zone = machine.zone if machine is not None else ""
+        zones[zone] = zones.get(zone, 0) + 1
+    return zones
--- /dev/null
+++ b/spindleglade/workers/write_queue.py
@@ -0,0 +1,63 @@
+"""What waits to be written to the state service, and what becomes of writes that were tried."""
+
+from spindleglade.workers.cluster_data import ClusterData
+from spindleglade.workers.jobs import Job
+from spindleglade.workers.write_batch import TaskRangeId, WriteBatch
+
+# In place of a first task: the record of a job that is done.
+DONE_RECORD = -1
+
+
+class WriteQueue:
+    """Takes task ranges out of the pending writes and puts them back. Called with the lock held."""
+
+    def __init__(self, data: ClusterData) -> None:
+        self._data = data
+
+    def remove(self, range_id: TaskRangeId) -> None:
+        """The task range is about to be written."""
+        self._data.pending_writes.pop(range_id, None)
+        self._data.pending_start_writes.pop(range_id, None)
+
+    def requeue_range(self, job: Job, first_task: int) -> None:
+        """The task range is still to be written, before others if a start in it waits for that."""
+        range_id = TaskRangeId(job.id, first_task)
+        self._data.pending_writes[range_id] = None
+        end = job.ranges.end(first_task)
+        if any(
+            first_task <= index < end and not attempt.is_recorded for index, attempt in job.placed.items()
+        ):
+            self._data.pending_start_writes[range_id] = None
+
+    def requeue(self, batch: WriteBatch) -> None:
+        """Nothing of the batch was committed."""
+        for write in batch.ranges:
+            job = self._data.jobs.get(write.job)
+            if job is None:
+                self._data.pending_writes[TaskRangeId(write.job, write.first_task)] = None
+            else:
+                self.requeue_range(job, write.first_task)
+        for job_id in [
+            *(job_id for job_id, _, _ in batch.done),
+            *batch.finished_jobs,
+            *(job_id for job_id, _ in batch.removed),
+        ]:
+            self._data.pending_writes[TaskRangeId(job_id, 0)] = None
+
+    def suspend_oversized(self, batch: WriteBatch) -> None:
+        """What the store refuses as too large though it was tried alone waits until it changes."""
+        for write in batch.ranges:
+            self._data.oversized_writes[TaskRangeId(write.job, write.first_task)] = write.version
+        for job_id, mod_revision, _ in batch.done:
+            self._data.oversized_writes[TaskRangeId(job_id, DONE_RECORD)] = mod_revision
+
+    def on_range_committed(self, job_id: str, first_task: int, version: int) -> None:
+        """The store holds that version of the task range; starts in it may be sent."""
+        job = self._data.jobs.get(job_id)
+        if job is None:
+            return
+        job.committed_versions[first_task] = max(job.committed_versions.get(first_task, 0), version)
+        end = job.ranges.end(first_task)
+        for index, attempt in job.placed.items():
+            if first_task <= index < end and not attempt.is_confirmed:
+                self._data.dispatch_queue[attempt.machine] = None
