--- a/spindleglade/leadership/__init__.py
+++ b/spindleglade/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads: the lease, the token, and the links between sibling nodes."""
+"""Leadership: elections, leases and tokens, and the connections between the controllers."""
--- a/spindleglade/leadership/test_peer_cancellations.py
+++ b/spindleglade/leadership/test_peer_cancellations.py
@@ -1,4 +1,4 @@
-"""What siblings state of cancellations: a leader never takes itself to know more than it does."""
+"""Reports of cancellations by peers: a leader never takes itself to know more than it does."""
 
 from datetime import timedelta
 
@@ -9,93 +9,96 @@
 from spindleglade.leadership.peer_cancellations import PeerCancellationLog
 from spindleglade.runtime.clock import ManualClock, seconds
 
-NODES = ("a", "b")
+PEERS = ("a", "b")
 
 
-class Knowledge(RuleBasedStateMachine):
-    """Two siblings that confirm cancellations to users, end and come back, and answer late; a store that the
-    node under test reaches now and then."""
+class CancellationKnowledge(RuleBasedStateMachine):
+    """Two peers that confirm cancellations to users, restart, and send late acknowledgements; and a store
+    that the controller under test reaches now and then."""
 
     @initialize()
     def begin(self):
         self.clock = ManualClock()
-        self.confirmed = None
+        self.replica_current_as_of = None
         self.known = set()
-        self.statements = PeerCancellationLog(
-            self.clock, NODES, lambda: self.confirmed, lambda job, mod_revision: self.known.add(job)
+        self.log = PeerCancellationLog(
+            self.clock,
+            PEERS,
+            lambda: self.replica_current_as_of,
+            lambda job, mod_revision: self.known.add(job),
         )
-        # All that is in the store, and what each process knows.
-        self.told = {}
-        self.process = dict.fromkeys(NODES, 0)
-        self.knows = {node: set() for node in NODES}
-        self.answers = []
+        # When each cancellation was confirmed to a user; all of them are in the store.
+        self.confirmed_at = {}
+        self.process = dict.fromkeys(PEERS, 0)
+        self.known_by_peer = {peer: set() for peer in PEERS}
+        self.acknowledgements = []
 
     @rule(length=st.floats(0.1, 3))
     def wait(self, length):
         self.clock.advance(seconds(length))
 
-    @rule(node=st.sampled_from(NODES))
-    def confirm_to_a_user(self, node):
-        job = f"job-{len(self.told)}"
-        self.told[job] = self.clock.now()
-        self.knows[node].add(job)
+    @rule(peer=st.sampled_from(PEERS))
+    def peer_confirms_a_cancellation(self, peer):
+        job = f"job-{len(self.confirmed_at)}"
+        self.confirmed_at[job] = self.clock.now()
+        self.known_by_peer[peer].add(job)
 
-    @rule(node=st.sampled_from(NODES))
-    def read_the_store_there(self, node):
-        self.knows[node] |= set(self.told)
+    @rule(peer=st.sampled_from(PEERS))
+    def peer_reads_the_store(self, peer):
+        self.known_by_peer[peer] |= set(self.confirmed_at)
 
-    @rule(node=st.sampled_from(NODES))
-    def end_and_return(self, node):
-        self.process[node] += 1
-        self.knows[node] = set()
+    @rule(peer=st.sampled_from(PEERS))
+    def peer_restarts(self, peer):
+        self.process[peer] += 1
+        self.known_by_peer[peer] = set()
 
-    @rule(node=st.sampled_from(NODES), states=st.booleans())
-    def ask(self, node, states):
-        aborts = [(job, 1) for job in sorted(self.knows[node])] if states else None
-        self.answers.append((node, f"{node}{self.process[node]}", aborts, self.clock.now()))
+    @rule(peer=st.sampled_from(PEERS), reports=st.booleans())
+    def heartbeat_is_sent(self, peer, reports):
+        cancellations = [(job, 1) for job in sorted(self.known_by_peer[peer])] if reports else None
+        process = f"{peer}{self.process[peer]}"
+        self.acknowledgements.append((peer, process, cancellations, self.clock.now()))
 
     @rule(which=st.integers(0, 9))
-    def an_answer_comes(self, which):
-        if self.answers:
-            self.statements.on_heartbeat(*self.answers.pop(which % len(self.answers)))
+    def acknowledgement_arrives(self, which):
+        if self.acknowledgements:
+            self.log.on_heartbeat(*self.acknowledgements.pop(which % len(self.acknowledgements)))
 
-    @rule(node=st.sampled_from(NODES))
-    def it_asks_us(self, node):
-        self.statements.on_heartbeat(node, f"{node}{self.process[node]}", None, None)
+    @rule(peer=st.sampled_from(PEERS))
+    def peer_sends_a_heartbeat(self, peer):
+        self.log.on_heartbeat(peer, f"{peer}{self.process[peer]}", None, None)
 
     @rule()
-    def the_store_answers(self):
-        self.confirmed = self.clock.now()
-        self.known |= set(self.told)
+    def replica_catches_up(self):
+        self.replica_current_as_of = self.clock.now()
+        self.known |= set(self.confirmed_at)
 
     @invariant()
-    def what_is_not_known_was_told_after_the_proof(self):
-        if not hasattr(self, "told"):
+    def unknown_cancellations_were_confirmed_later(self):
+        if not hasattr(self, "confirmed_at"):
             return
-        proven = self.statements.complete_as_of
-        assert proven is None or proven >= (self.confirmed or timedelta(0))
-        for job, at in self.told.items():
-            assert job in self.known or proven is None or proven <= at
+        complete_as_of = self.log.complete_as_of
+        assert complete_as_of is None or complete_as_of >= (self.replica_current_as_of or timedelta(0))
+        for job, at in self.confirmed_at.items():
+            assert job in self.known or complete_as_of is None or complete_as_of <= at
 
 
-TestKnowledge = Knowledge.TestCase
-TestKnowledge.settings = settings(max_examples=100, stateful_step_count=30)
+TestCancellationKnowledge = CancellationKnowledge.TestCase
+TestCancellationKnowledge.settings = settings(max_examples=100, stateful_step_count=30)
 
 
-def test_all_siblings_words_extend_the_proof_until_one_of_them_ends():
+def test_reports_of_all_peers_extend_what_is_known_until_one_of_them_restarts():
     clock = ManualClock()
-    statements = PeerCancellationLog(clock, NODES, lambda: seconds(1), lambda job, mod_revision: None)
-    assert PeerCancellationLog(
-        clock, (), lambda: seconds(1), lambda job, mod_revision: None
-    ).complete_as_of == seconds(1)
-    for node in NODES:
-        statements.on_heartbeat(node, "first", None, None)
+    log = PeerCancellationLog(clock, PEERS, lambda: seconds(1), lambda job, mod_revision: None)
+    without_peers = PeerCancellationLog(clock, (), lambda: seconds(1), lambda job, mod_revision: None)
+    assert without_peers.complete_as_of == seconds(1)
+    for peer in PEERS:
+        log.on_heartbeat(peer, "first", None, None)
     clock.advance(seconds(9))
-    statements.on_heartbeat("a", "first", [], seconds(8))
-    assert statements.complete_as_of == seconds(1)
-    statements.on_heartbeat("b", "first", [], seconds(7))
-    statements.on_heartbeat("x", "first", [], seconds(9))
-    assert statements.complete_as_of == seconds(7)
-    # What the process before this one had told its users by its end, nobody can say.
-    statements.on_heartbeat("b", "second", [], seconds(9))
-    assert statements.complete_as_of == seconds(1)
+    log.on_heartbeat("a", "first", [], seconds(8))
+    assert log.complete_as_of == seconds(1)
+    log.on_heartbeat("b", "first", [], seconds(7))
+    log.on_heartbeat("x", "first", [], seconds(9))
+    assert log.complete_as_of == seconds(7)
+    # Nobody can say what the former process had confirmed to users by its end.
+    log.on_heartbeat("b", "second", [], seconds(9))
+    assert log.complete_as_of == seconds(1)
