--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -15,8 +15,10 @@
 from spindleglade.controller.leader import Leader
 from spindleglade.fleet.client import CloudClient
 from spindleglade.fleet.machine_types import MachineTypeCatalog
+from spindleglade.http.client import HttpClient, Requester
+from spindleglade.http.concurrency import ConcurrencyLimiter
 from spindleglade.http.connection_budget import ConnectionBudget
-from spindleglade.http.web import ConcurrencyLimiter, HttpClient, HttpResponse, Requester, http_server
+from spindleglade.http.server import HttpResponse, http_server
 from spindleglade.leadership.election import Election, ElectionHandlers
 from spindleglade.leadership.errors import PeerUnreachableError
 from spindleglade.leadership.monitor import LeadershipMonitor
--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -17,7 +17,7 @@
 from spindleglade.fleet.autoscaler import Autoscaler
 from spindleglade.fleet.client import CloudClient
 from spindleglade.fleet.machine_types import MachineTypeCatalog
-from spindleglade.http.web import ConcurrencyLimiter
+from spindleglade.http.concurrency import ConcurrencyLimiter
 from spindleglade.leadership.term import Term
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import Clock, seconds, sleep
--- a/spindleglade/fleet/autoscaler.py
+++ b/spindleglade/fleet/autoscaler.py
@@ -33,7 +33,7 @@
 )
 from spindleglade.fleet.messages import ListedMachine, MachineType, ProvisionRequest
 from spindleglade.fleet.on_demand import OnDemandPolicy
-from spindleglade.http.web import ConnectionLimitError, NoResponseError
+from spindleglade.http.errors import ConnectionLimitError, NoResponseError
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import ZERO, Clock, seconds, sleep
 from spindleglade.runtime.periodic_task import PeriodicTask
--- a/spindleglade/fleet/client.py
+++ b/spindleglade/fleet/client.py
@@ -17,7 +17,8 @@
     ProvisionResponse,
     TerminateRequest,
 )
-from spindleglade.http.web import ClientResponse, NoResponseError, NotSentError, Requester
+from spindleglade.http.client import ClientResponse, Requester
+from spindleglade.http.errors import NoResponseError, NotSentError
 from spindleglade.runtime.clock import Clock, sleep
 from spindleglade.store.token_bucket import TokenBucket
 
--- a/spindleglade/fleet/test_fleet.py
+++ b/spindleglade/fleet/test_fleet.py
@@ -27,7 +27,7 @@
     choose_provisioning,
 )
 from spindleglade.fleet.messages import ListedMachine, MachineType
-from spindleglade.http.web import ClientResponse
+from spindleglade.http.client import ClientResponse
 from spindleglade.runtime.clock import ManualClock, seconds, sleep
 from spindleglade.settings import Team
 from spindleglade.settings.operator import FleetSettings, WorkerSettings
--- a/spindleglade/http/test_http.py
+++ b/spindleglade/http/test_http.py
@@ -6,16 +6,11 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
+from spindleglade.http.client import ClientResponse, _TrackedEndpoint
+from spindleglade.http.concurrency import MAX_QUEUE_TIME, ConcurrencyLimiter
 from spindleglade.http.connection_budget import ConnectionBudget
-from spindleglade.http.web import (
-    MAX_QUEUE_TIME,
-    ClientResponse,
-    ConcurrencyLimiter,
-    ConnectionLimitError,
-    HttpResponse,
-    _TrackedEndpoint,
-    http_server,
-)
+from spindleglade.http.errors import ConnectionLimitError
+from spindleglade.http.server import HttpResponse, http_server
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import ManualClock, seconds
 
--- a/spindleglade/store/client.py
+++ b/spindleglade/store/client.py
@@ -13,7 +13,8 @@
 
 import msgspec
 
-from spindleglade.http.web import ClientResponse, NoResponseError, NotSentError, Requester
+from spindleglade.http.client import ClientResponse, Requester
+from spindleglade.http.errors import NoResponseError, NotSentError
 from spindleglade.runtime.clock import Clock, sleep
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.token_bucket import TokenBucket
--- a/spindleglade/store/test_client.py
+++ b/spindleglade/store/test_client.py
@@ -4,7 +4,7 @@
 import pytest
 from twisted.internet.defer import Deferred
 
-from spindleglade.http.web import ClientResponse
+from spindleglade.http.client import ClientResponse
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import NextStateLimits, StateLimits
--- a/spindleglade/submissions/api.py
+++ b/spindleglade/submissions/api.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from datetime import datetime
 
-from spindleglade.http.web import BODY_LIMIT, HttpResponse
+from spindleglade.http.server import BODY_LIMIT, HttpResponse
 from spindleglade.settings.platform import Team
 from spindleglade.store.client import StateClient
 from spindleglade.store.replica import Replica
--- a/spindleglade/submissions/cancellation.py
+++ b/spindleglade/submissions/cancellation.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from spindleglade.http.web import HttpResponse
+from spindleglade.http.server import HttpResponse
 from spindleglade.store.client import (
     Committed,
     Condition,
--- a/spindleglade/submissions/responses.py
+++ b/spindleglade/submissions/responses.py
@@ -1,6 +1,6 @@
 """The responses of the users' interface."""
 
-from spindleglade.http.web import HttpResponse, encode_json
+from spindleglade.http.server import HttpResponse, encode_json
 from spindleglade.submissions.job_view import JobView
 from spindleglade.submissions.messages import JobResponse, JobStatus, JobStatusResponse
 
--- a/spindleglade/submissions/status.py
+++ b/spindleglade/submissions/status.py
@@ -1,6 +1,6 @@
 """The status of jobs as users are told it: never older than what any controller has told before."""
 
-from spindleglade.http.web import HttpResponse
+from spindleglade.http.server import HttpResponse
 from spindleglade.store.replica import Replica, StaleReplicaError
 from spindleglade.submissions.job_view import JobView
 from spindleglade.submissions.records import job_key
--- a/spindleglade/submissions/submission.py
+++ b/spindleglade/submissions/submission.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from spindleglade.http.web import HttpResponse
+from spindleglade.http.server import HttpResponse
 from spindleglade.settings.platform import Team
 from spindleglade.store.client import (
     Committed,
--- a/spindleglade/workers/api.py
+++ b/spindleglade/workers/api.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from spindleglade.http.web import HttpResponse
+from spindleglade.http.server import HttpResponse
 from spindleglade.runtime.clock import Clock
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
--- a/spindleglade/workers/command_dispatcher.py
+++ b/spindleglade/workers/command_dispatcher.py
@@ -9,13 +9,8 @@
 
 import msgspec
 
-from spindleglade.http.web import (
-    ClientResponse,
-    ConnectionLimitError,
-    NoResponseError,
-    NotSentError,
-    Requester,
-)
+from spindleglade.http.client import ClientResponse, Requester
+from spindleglade.http.errors import ConnectionLimitError, NoResponseError, NotSentError
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import Clock
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
--- a/spindleglade/workers/test_command_dispatcher.py
+++ b/spindleglade/workers/test_command_dispatcher.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from spindleglade.http.web import ConnectionLimitError, NoResponseError, NotSentError
+from spindleglade.http.errors import ConnectionLimitError, NoResponseError, NotSentError
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
 from spindleglade.workers.command_dispatcher import CommandDispatcher, DispatcherEvents
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_splitting.py
@@ -9,7 +9,7 @@
 from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.controller.leader import Leader
 from spindleglade.controller.test_leader import Learner
-from spindleglade.http.web import ClientResponse
+from spindleglade.http.client import ClientResponse
 from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -10,7 +10,8 @@
 from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.controller.leader import Leader
 from spindleglade.controller.test_leader import Learner
-from spindleglade.http.web import ClientResponse, NoResponseError
+from spindleglade.http.client import ClientResponse
+from spindleglade.http.errors import NoResponseError
 from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,7 +13,9 @@
 from twisted.internet.defer import Deferred
 from twisted.web.server import Site
 
-from spindleglade.http.web import HttpClient, HttpResponse, NoResponseError, RequestResource
+from spindleglade.http.client import HttpClient
+from spindleglade.http.errors import NoResponseError
+from spindleglade.http.server import HttpResponse, RequestResource
 from spindleglade.runtime.clock import ReactorClock, seconds
 from tests.deployment_config import TEAMS, TYPES, description
 from tests.fakes.cloud import Cloud
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -63,9 +63,9 @@
         self, deployment: "SimulatedDeployment", name: str, life: LifeClock, version: Version
     ) -> None:
         self._deployment, self._name, self._life = deployment, name, life
-        self._no_response = version.named("http.web", "NoResponseError")
-        self._not_sent = version.named("http.web", "NotSentError")
-        self._response = version.named("http.web", "ClientResponse")
+        self._no_response = version.named("http.errors", "NoResponseError")
+        self._not_sent = version.named("http.errors", "NotSentError")
+        self._response = version.named("http.client", "ClientResponse")
 
     async def request(
         self,
--- a/tests/simulated_deployment.py
+++ b/tests/simulated_deployment.py
@@ -187,7 +187,7 @@
             version.module("settings").OperatorSettings() if version.is_production else self.settings,
             life,
             http,
-            version.named("http.web", "ConcurrencyLimiter")(http, life, sockets),
+            version.named("http.concurrency", "ConcurrencyLimiter")(http, life, sockets),
             connect,
             compute,
         )
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -28,7 +28,8 @@
 from spindleglade.fleet import messages as cloud
 from spindleglade.fleet.client import CloudClient
 from spindleglade.fleet.machine_types import MORE_TYPES
-from spindleglade.http.web import HEARTBEAT_PATH, ClientResponse, HttpResponse
+from spindleglade.http.client import ClientResponse
+from spindleglade.http.server import HEARTBEAT_PATH, HttpResponse
 from spindleglade.leadership import peer_messages, term
 from spindleglade.runtime.clock import ZERO, ManualClock
 from spindleglade.settings import operator, platform
