--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -31,14 +31,9 @@
 from spindleglade.runtime.clock import Clock, ReactorClock, seconds, sleep
 from spindleglade.settings import OperatorSettings, Platform
 from spindleglade.settings.platform import split_address
-from spindleglade.store.client import (
-    Condition,
-    NotAppliedError,
-    OutcomeUnknownError,
-    Put,
-    StateClient,
-    encode_value,
-)
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
+from spindleglade.store.messages import Condition, Put, encode_value
 from spindleglade.store.replica import Replica
 from spindleglade.submissions.api import UserApi
 from spindleglade.submissions.records import JOBS, LEASE_RENEWALS, PREFIX, JobRecord, job_key
--- a/spindleglade/controller/history_writer.py
+++ b/spindleglade/controller/history_writer.py
@@ -5,16 +5,9 @@
 
 from spindleglade.backfill.distributions import Predictor
 from spindleglade.leadership.term import LEADER, Term
-from spindleglade.store.client import (
-    Committed,
-    Condition,
-    ConditionFailed,
-    NotAppliedError,
-    OutcomeUnknownError,
-    Put,
-    StateClient,
-    encode_value,
-)
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
+from spindleglade.store.messages import Committed, Condition, ConditionFailed, Put, encode_value
 from spindleglade.submissions.records import HISTORY
 from spindleglade.workers.cluster_state import ClusterState
 
--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -24,14 +24,9 @@
 from spindleglade.runtime.log_throttle import LogThrottle
 from spindleglade.runtime.periodic_task import PeriodicTask
 from spindleglade.settings import OperatorSettings, Platform
-from spindleglade.store.client import (
-    Entry,
-    Listing,
-    NotAppliedError,
-    OutcomeUnknownError,
-    RevisionCompactedError,
-    StateClient,
-)
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError, RevisionCompactedError
+from spindleglade.store.messages import Entry, Listing
 from spindleglade.store.replica import Replica
 from spindleglade.submissions.records import (
     DEPENDENCIES,
--- a/spindleglade/controller/test_leader.py
+++ b/spindleglade/controller/test_leader.py
@@ -12,7 +12,8 @@
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.client import Committed, ConditionFailed, Entry, OutcomeUnknownError, encode_value
+from spindleglade.store.errors import OutcomeUnknownError
+from spindleglade.store.messages import Committed, ConditionFailed, Entry, encode_value
 from spindleglade.submissions.records import (
     HISTORY,
     JobRecord,
--- a/spindleglade/fleet/machine_types.py
+++ b/spindleglade/fleet/machine_types.py
@@ -12,15 +12,9 @@
 from spindleglade.fleet.messages import MachineType, MachineTypeList
 from spindleglade.runtime.background import run_forever
 from spindleglade.runtime.clock import Clock, seconds, sleep
-from spindleglade.store.client import (
-    Committed,
-    Condition,
-    NotAppliedError,
-    OutcomeUnknownError,
-    Put,
-    StateClient,
-    encode_value,
-)
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
+from spindleglade.store.messages import Committed, Condition, Put, encode_value
 from spindleglade.store.replica import Replica
 from spindleglade.submissions.messages import MachineShape
 from spindleglade.submissions.records import TYPES
--- a/spindleglade/fleet/test_machine_types.py
+++ b/spindleglade/fleet/test_machine_types.py
@@ -7,7 +7,7 @@
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import ManualClock
 from spindleglade.settings.platform import NextStateLimits, StateLimits
-from spindleglade.store.client import Committed, encode_value
+from spindleglade.store.messages import Committed, encode_value
 from spindleglade.submissions.records import TYPES
 
 TYPES_OF_CLOUD = [
--- a/spindleglade/leadership/election.py
+++ b/spindleglade/leadership/election.py
@@ -17,17 +17,15 @@
 from spindleglade.leadership.term import LEADER, TOKEN, LeaderRecord, Term, TokenRecord
 from spindleglade.runtime.background import run_forever, run_in_background
 from spindleglade.runtime.clock import Clock, sleep
-from spindleglade.store.client import (
-    Committed,
-    Condition,
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import (
     LeaseExpiredError,
     NotAppliedError,
     OutcomeUnknownError,
-    Put,
-    StateClient,
-    encode_value,
+    StaleReplicaError,
 )
-from spindleglade.store.replica import Replica, StaleReplicaError
+from spindleglade.store.messages import Committed, Condition, Put, encode_value
+from spindleglade.store.replica import Replica
 
 log = logging.getLogger("spindleglade.leadership")
 
--- a/spindleglade/leadership/lease_renewal.py
+++ b/spindleglade/leadership/lease_renewal.py
@@ -4,7 +4,8 @@
 from datetime import timedelta
 
 from spindleglade.leadership.term import Term
-from spindleglade.store.client import NotAppliedError, OutcomeUnknownError, RateLimitedError, StateClient
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError, RateLimitedError
 
 log = logging.getLogger("spindleglade.leadership")
 
--- a/spindleglade/leadership/term.py
+++ b/spindleglade/leadership/term.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from spindleglade.store.client import Condition
+from spindleglade.store.messages import Condition
 from spindleglade.submissions.records import PREFIX
 
 LEADER = PREFIX + "leader"
--- a/spindleglade/leadership/test_election.py
+++ b/spindleglade/leadership/test_election.py
@@ -10,7 +10,8 @@
 from spindleglade.leadership.lease_renewal import RETRY_SHARE
 from spindleglade.leadership.term import LEADER, LeaderRecord
 from spindleglade.runtime.clock import ManualClock, seconds
-from spindleglade.store.client import Committed, Condition, ConditionFailed, NotAppliedError, RateLimitedError
+from spindleglade.store.errors import NotAppliedError, RateLimitedError
+from spindleglade.store.messages import Committed, Condition, ConditionFailed
 from tests.simulated_deployment import SimulatedDeployment
 
 
--- a/spindleglade/store/client.py
+++ b/spindleglade/store/client.py
@@ -1,321 +1,242 @@
 """Client of the state service, by its published protocol.
 
-Every call ends in one of three ways, and callers must tell them apart: an answer; `Unavailable`, the request
-was certainly not carried out; `Unknown`, it may have been, or may still be.
-
-The service may lower its limits at a moment that is not announced (`params.state.next`). The client finds
-out by what is refused: a 429 makes it keep to the lower rates for `LOWER_RATES_FOR`, a 400 to a transaction
-to the smaller size of values for good.
+Every call ends in one of three ways, and callers must tell them apart: a response; `NotAppliedError`, the
+request was certainly not carried out; `OutcomeUnknownError`, it may have been, or may still be.
 """
 
 from datetime import timedelta
-from typing import Any, NamedTuple
+from typing import Any, TypeVar
 
 import msgspec
 
 from spindleglade.http.client import ClientResponse, Requester
 from spindleglade.http.errors import NoResponseError, NotSentError
-from spindleglade.runtime.clock import Clock, sleep
+from spindleglade.runtime.clock import Clock
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.token_bucket import TokenBucket
-
-# Share of the changes a second that one node may make by itself.
-LEADER_WRITE_SHARE = 0.7
-# After a 429 the lower of the present and the announced rates are kept to for so long.
-LOWER_RATES_DURATION = timedelta(seconds=60)
-
-
-class NotAppliedError(Exception):
-    """Not carried out: refused, over the rate, or never sent."""
-
-
-class RateLimitedError(NotAppliedError):
-    """Over one of the two rates (429)."""
-
-
-class ServiceUnavailableError(NotAppliedError):
-    """Nothing is carried out for this node at present (503)."""
-
-
-class ValueTooLargeError(NotAppliedError):
-    """A transaction, or a value in it, is larger than the service takes (400): never repeated unchanged."""
-
-
-class OutcomeUnknownError(Exception):
-    """No answer: carried out, not carried out, or carried out later."""
-
-
-class RevisionCompactedError(Exception):
-    """The revision asked for has left the service's memory: read everything again."""
-
-
-class LeaseExpiredError(Exception):
-    """The lease has ended."""
-
-
-class Entry(msgspec.Struct, frozen=True):
-    key: str = msgspec.field(name="k")
-    value: msgspec.Raw = msgspec.field(name="v")
-    mod_revision: int = msgspec.field(name="mark")
-
-
-class Change(msgspec.Struct, frozen=True):
-    """One change of a watch: a key set to a value, or removed."""
-
-    mod_revision: int = msgspec.field(name="mark")
-    put: str | None = msgspec.field(name="set", default=None)
-    value: msgspec.Raw = msgspec.field(name="v", default=msgspec.Raw(b"null"))
-    removed: str | None = msgspec.field(name="remove", default=None)
-
-
-class _ListResponse(msgspec.Struct):
-    entries: list[Entry]
-    revision: int = msgspec.field(name="turn")
-    has_next: bool = False
-
-
-class _WatchResponse(msgspec.Struct):
-    revision: int = msgspec.field(name="turn")
-    changes: list[Change] = msgspec.field(name="log", default_factory=list)
-
-
-class _CommitResponse(msgspec.Struct):
-    revision: int = msgspec.field(name="turn", default=0)
-
-
-class _ConflictResponse(msgspec.Struct):
-    failed: list[str] = []
-    revision: int = msgspec.field(name="turn", default=0)
-
-
-class _LeaseResponse(msgspec.Struct):
-    lease: int = msgspec.field(name="hold")
-
-
-class Condition(msgspec.Struct, frozen=True):
-    key: str = msgspec.field(name="k")
-    mod_revision: int = msgspec.field(name="mark")
-
-
-class Put(msgspec.Struct, frozen=True, omit_defaults=True):
-    key: str = msgspec.field(name="set")
-    value: msgspec.Raw = msgspec.field(name="v")
-    lease: int | None = msgspec.field(name="hold", default=None)
-
-
-class Delete(msgspec.Struct, frozen=True):
-    key: str = msgspec.field(name="remove")
-
-
-class _TransactionRequest(msgspec.Struct):
-    conditions: list[Condition] = msgspec.field(name="when")
-    writes: list[Put | Delete] | list[Any]
-
-
-class _LeaseRequest(msgspec.Struct):
-    ttl_ms: int
-
-
-class Committed(NamedTuple):
-    revision: int
-
-
-class ConditionFailed(NamedTuple):
-    """Some conditions did not hold; nothing was changed."""
-
-    failed: frozenset[str]
-    revision: int
-
-
-class Listing(NamedTuple):
-    entries: list[Entry]
-    revision: int
-    # Pages that it was read in, one after the other.
-    pages: int = 1
-
-
-def encode_value(value: Any) -> msgspec.Raw:
-    return msgspec.Raw(msgspec.json.encode(value))
-
-
-def _decode(body: bytes, kind: Any) -> Any:
+from spindleglade.store.errors import (
+    LeaseExpiredError,
+    NotAppliedError,
+    OutcomeUnknownError,
+    RateLimitedError,
+    RevisionCompactedError,
+    ServiceUnavailableError,
+    StoreError,
+    ValueTooLargeError,
+)
+from spindleglade.store.messages import (
+    CommitResponse,
+    Committed,
+    Condition,
+    ConditionFailed,
+    ConflictResponse,
+    Delete,
+    Entry,
+    LeaseRequest,
+    LeaseResponse,
+    Listing,
+    ListResponse,
+    Put,
+    TransactionRequest,
+    WatchResponse,
+    WatchResult,
+)
+from spindleglade.store.rate_limits import RateLimits
+
+# Keys in one page of a listing.
+PAGE_SIZE = 1000
+# A page takes longer than other responses: its timeout is so many times theirs.
+LIST_TIMEOUT_FACTOR = 3
+# Bytes of a refusal's body that an error quotes.
+MAX_QUOTED_BYTES = 200
+# By these words in its body a refusal for an expired lease is told from one for the size, both of status 400.
+EXPIRED_LEASE_REFUSAL = b"no such lease"
+
+T = TypeVar("T")
+
+
+def _decode(operation: str, body: bytes, kind: type[T]) -> T:
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.DecodeError as error:
-        raise OutcomeUnknownError(f"malformed answer: {error}") from None
+        raise OutcomeUnknownError(f"malformed response: {error}", operation) from error
+
+
+def _milliseconds(duration: timedelta) -> int:
+    return int(duration.total_seconds() * 1000)
 
 
 class StateClient:
+    """Calls of the state service, kept to this controller's share of the service's rates."""
+
     def __init__(
         self,
         http: Requester,
         address: str,
         clock: Clock,
         limits: StateLimits,
-        nodes: int,
+        controllers: int,
         timeout: timedelta,
     ) -> None:
+        """`timeout` bounds one request; `controllers` share the rates that `limits` allows."""
         self._http = http
         self._address = address
-        self._clock = clock
         self._timeout = timeout
         self.limits = limits
-        self._controllers = nodes
-        # The limits whose rates are kept to at present.
-        self._limits_in_force = limits
-        self._request_tokens = TokenBucket(clock, limits.rps / nodes, limits.rps / nodes)
-        # The leader writes nearly all; the rest is for submissions and aborts at the others.
-        self._write_tokens = TokenBucket(
-            clock, limits.write_rps * LEADER_WRITE_SHARE, limits.write_rps * LEADER_WRITE_SHARE / 2
-        )
-        # When the lower rates end, after a 429.
-        self._lower_rates_until: timedelta | None = None
-        # Until when ordinary requests wait, because a lease was not renewed.
-        self._ordinary_paused_until = clock.now()
+        self._rate_limits = RateLimits(clock, limits, controllers)
+        # Whether a transaction was refused for its size: the smaller limit holds from then on.
         self._size_refused = False
 
     @property
     def value_bytes(self) -> int:
-        """The limit in force for values that exist already: the present one until the first 400 that this
-        process sees, then the smaller. The limits fall only after every process runs a version that knows
-        of them, so whoever reads a value that was split by the smaller limit understands its parts."""
+        """The limit in force for values that exist already, in bytes.
+
+        It is the present one until the first refusal for size that this process sees, then the smaller one.
+        The limits fall only after every process runs a version that knows of them, so whoever reads a value
+        that was split by the smaller limit understands its ranges.
+        """
         return self.limits.value_bytes if self._size_refused else self.limits.largest_value
 
     @property
     def request_interval(self) -> timedelta:
-        """Time between two requests of one kind that keeps them to a third of this node's share."""
-        self._apply_rates()
-        return timedelta(seconds=3 * self._controllers / self._limits_in_force.rps)
+        """Time between two requests of one kind that keeps them to a third of this controller's share."""
+        return self._rate_limits.request_interval
 
     @property
     def spare_writes(self) -> int:
-        """Changes that may be made now and still leave room for more urgent ones."""
-        self._apply_rates()
-        return max(0, int(self._write_tokens.spare))
-
-    def pause_ordinary_requests(self, length: timedelta) -> None:
-        """Ordinary requests wait for so long: a lease was not renewed, and its next renewal comes first."""
-        self._ordinary_paused_until = max(self._ordinary_paused_until, self._clock.now() + length)
-
-    def _on_rate_limited(self) -> None:
-        self._lower_rates_until = self._clock.now() + LOWER_RATES_DURATION
-        self._apply_rates()
-
-    def _apply_rates(self) -> None:
-        lower = self._lower_rates_until is not None and self._clock.now() < self._lower_rates_until
-        limits = self.limits.lowest if lower else self.limits
-        if (limits.rps, limits.write_rps) == (self._limits_in_force.rps, self._limits_in_force.write_rps):
-            return
-        self._limits_in_force = limits
-        self._request_tokens.set_rate(limits.rps / self._controllers, limits.rps / self._controllers)
-        writes = limits.write_rps * LEADER_WRITE_SHARE
-        self._write_tokens.set_rate(writes, writes / 2)
-
-    async def _wait_for_tokens(self, writes: int) -> None:
-        """Waits until an ordinary transaction with so many changes may be sent."""
-        self._apply_rates()
-        held = self._ordinary_paused_until - self._clock.now()
-        delay = max(self._request_tokens.reserve(), self._write_tokens.reserve(writes), held)
-        if delay > timedelta(0):
-            await sleep(self._clock, delay)
-
-    async def _call(
-        self, method: str, path: str, body: Any = None, timeout: timedelta | None = None
-    ) -> ClientResponse:
-        encoded = None if body is None else msgspec.json.encode(body)
-        try:
-            response = await self._http.request(
-                method, self._address, path, encoded, timeout or self._timeout
-            )
-        except NotSentError as error:
-            raise NotAppliedError(str(error)) from None
-        except NoResponseError as error:
-            raise OutcomeUnknownError(str(error)) from None
-        if response.status == 429:
-            self._on_rate_limited()
-            raise RateLimitedError(f"{path} answered 429")
-        if response.status == 503:
-            raise ServiceUnavailableError(f"{path} answered 503")
-        return response
+        """Writes that may be made now and still leave room for more urgent ones."""
+        return self._rate_limits.spare_writes
+
+    def pause_ordinary_requests(self, duration: timedelta) -> None:
+        """Makes ordinary requests wait for so long, so that the renewal of a lease goes before them."""
+        self._rate_limits.pause_ordinary_requests(duration)
 
     async def get(self, key: str) -> Entry | None:
-        self._request_tokens.spend()
-        response = await self._call("GET", f"/kv/{key}")
+        """The entry of a key, None if there is none."""
+        operation = f"get {key}"
+        self._rate_limits.spend_request()
+        response = await self._send(operation, "GET", f"/kv/{key}")
         if response.status == 404:
             return None
-        if response.status != 200:
-            raise NotAppliedError(f"get answered {response.status}")
-        return _decode(response.body, Entry)
+        _require_ok(operation, response)
+        return _decode(operation, response.body, Entry)
 
     async def read_all(self, prefix: str) -> Listing:
-        """All keys with the prefix. Pages are read one after the other, so later ones may be newer than the
-        turn returned, which is the first page's: following the changes from there misses nothing."""
+        """All keys with the prefix.
+
+        Pages are read one after the other, so later ones may be newer than the revision returned, which is
+        the first page's: following the changes from there misses nothing.
+        """
         entries: list[Entry] = []
-        since, revision, pages = "", None, 0
-        while True:
-            if self._clock.now() < self._ordinary_paused_until:
-                await sleep(self._clock, self._ordinary_paused_until - self._clock.now())
-            self._request_tokens.spend()
+        first_revision, pages, has_next = 0, 0, True
+        while has_next:
+            page = await self._read_page(prefix, entries[-1].key if entries else None)
             pages += 1
-            path = f"/kv?starts={prefix}&page=1000" + (f"&since={since}" if since else "")
-            response = await self._call("GET", path, timeout=self._timeout * 3)
-            if response.status != 200:
-                raise NotAppliedError(f"list answered {response.status}")
-            page: _ListResponse = _decode(response.body, _ListResponse)
-            revision = page.revision if revision is None else revision
+            if pages == 1:
+                first_revision = page.revision
             entries.extend(page.entries)
-            if not page.has_next or not page.entries:
-                return Listing(entries, revision, pages)
-            since = page.entries[-1].key
+            has_next = page.has_next and bool(page.entries)
+        return Listing(entries, first_revision, pages)
+
+    async def _read_page(self, prefix: str, since: str | None) -> ListResponse:
+        """The page of keys after `since`, or the first one."""
+        operation = f"list {prefix}"
+        await self._rate_limits.wait_for_listing()
+        path = f"/kv?starts={prefix}&page={PAGE_SIZE}" + (f"&since={since}" if since else "")
+        response = await self._send(operation, "GET", path, timeout=self._timeout * LIST_TIMEOUT_FACTOR)
+        _require_ok(operation, response)
+        return _decode(operation, response.body, ListResponse)
 
     async def compare_and_swap(
         self, conditions: list[Condition], writes: list[Put | Delete], urgent: bool = False
     ) -> Committed | ConditionFailed:
+        """Carries out all writes if all conditions hold, and none otherwise.
+
+        An urgent transaction is sent at once, an ordinary one when the rates allow it. Raises
+        LeaseExpiredError if a write names a lease that has expired, and ValueTooLargeError.
+        """
         if urgent:
-            self._apply_rates()
-            self._request_tokens.spend()
-            self._write_tokens.spend(len(writes))
+            self._rate_limits.spend_transaction(len(writes))
         else:
-            await self._wait_for_tokens(len(writes))
-        response = await self._call("POST", "/txn", _TransactionRequest(conditions, writes))
+            await self._rate_limits.wait_for_transaction(len(writes))
+        operation = "transaction"
+        response = await self._send(operation, "POST", "/txn", TransactionRequest(conditions, writes))
         if response.status == 200:
-            return Committed(_decode(response.body, _CommitResponse).revision)
+            return Committed(_decode(operation, response.body, CommitResponse).revision)
         if response.status == 409:
-            conflict: _ConflictResponse = _decode(response.body, _ConflictResponse)
+            conflict = _decode(operation, response.body, ConflictResponse)
             return ConditionFailed(frozenset(conflict.failed), conflict.revision)
-        if response.status == 400:
-            if b"no such lease" in response.body:
-                raise LeaseExpiredError
-            self._size_refused = True
-            raise ValueTooLargeError(f"txn answered 400 {response.body[:200]!r}")
-        raise NotAppliedError(f"txn answered {response.status} {response.body[:200]!r}")
+        raise self._refused_transaction(operation, response)
+
+    def _refused_transaction(self, operation: str, response: ClientResponse) -> StoreError:
+        """The error for a transaction that was neither carried out nor in conflict."""
+        reason = f"refused: {response.body[:MAX_QUOTED_BYTES]!r}"
+        if response.status != 400:
+            return NotAppliedError(reason, operation, response.status)
+        if EXPIRED_LEASE_REFUSAL in response.body:
+            return LeaseExpiredError(operation=operation, status=response.status)
+        self._size_refused = True
+        return ValueTooLargeError(reason, operation, response.status)
 
     async def grant_lease(self, ttl: timedelta) -> int:
-        self._request_tokens.spend()
-        response = await self._call("POST", "/leases", _LeaseRequest(int(ttl.total_seconds() * 1000)))
-        if response.status != 200:
-            raise NotAppliedError(f"lease answered {response.status}")
-        return _decode(response.body, _LeaseResponse).lease
+        """Creates a lease that expires unless it is renewed within `ttl`; returns its number."""
+        operation = "grant lease"
+        self._rate_limits.spend_request()
+        response = await self._send(operation, "POST", "/leases", LeaseRequest(_milliseconds(ttl)))
+        _require_ok(operation, response)
+        return _decode(operation, response.body, LeaseResponse).lease
 
     async def keep_alive(self, lease: int) -> None:
-        self._request_tokens.spend()
-        response = await self._call("POST", f"/leases/{lease}/touch", {})
+        """Renews a lease; raises LeaseExpiredError if it has expired."""
+        operation = f"keep alive lease {lease}"
+        self._rate_limits.spend_request()
+        response = await self._send(operation, "POST", f"/leases/{lease}/touch", {})
         if response.status == 404:
-            raise LeaseExpiredError
-        if response.status != 200:
-            raise NotAppliedError(f"touch answered {response.status}")
+            raise LeaseExpiredError(operation=operation, status=response.status)
+        _require_ok(operation, response)
 
     async def revoke_lease(self, lease: int) -> None:
-        self._request_tokens.spend()
-        await self._call("DELETE", f"/leases/{lease}")
-
-    async def watch(self, prefix: str, since: int, wait: timedelta) -> tuple[int, list[Change]]:
-        self._request_tokens.spend()
-        path = f"/watch?starts={prefix}&since={since}&wait_ms={int(wait.total_seconds() * 1000)}"
-        response = await self._call("GET", path, timeout=wait + self._timeout)
+        """Ends a lease, which removes its keys."""
+        self._rate_limits.spend_request()
+        await self._send(f"revoke lease {lease}", "DELETE", f"/leases/{lease}")
+
+    async def watch(self, prefix: str, since: int, max_wait: timedelta) -> WatchResult:
+        """The changes of keys with the prefix after the revision `since`.
+
+        If there are none yet, the service answers with the first, or after `max_wait` with none. Raises
+        RevisionCompactedError if the service no longer keeps them.
+        """
+        operation = f"watch {prefix} since {since}"
+        self._rate_limits.spend_request()
+        path = f"/watch?starts={prefix}&since={since}&wait_ms={_milliseconds(max_wait)}"
+        response = await self._send(operation, "GET", path, timeout=max_wait + self._timeout)
         if response.status == 410:
-            raise RevisionCompactedError
-        if response.status != 200:
-            raise NotAppliedError(f"watch answered {response.status}")
-        watched: _WatchResponse = _decode(response.body, _WatchResponse)
-        return watched.revision, watched.changes
+            raise RevisionCompactedError(operation=operation, status=response.status)
+        _require_ok(operation, response)
+        watched = _decode(operation, response.body, WatchResponse)
+        return WatchResult(watched.revision, watched.changes)
+
+    async def _send(
+        self, operation: str, method: str, path: str, body: Any = None, timeout: timedelta | None = None
+    ) -> ClientResponse:
+        """Sends a request; raises unless it got a response other than 429 and 503."""
+        encoded = None if body is None else msgspec.json.encode(body)
+        try:
+            response = await self._http.request(
+                method, self._address, path, encoded, timeout or self._timeout
+            )
+        except NotSentError as error:
+            raise NotAppliedError(str(error), operation) from error
+        except NoResponseError as error:
+            raise OutcomeUnknownError(str(error), operation) from error
+        if response.status == 429:
+            self._rate_limits.on_rate_limited()
+            raise RateLimitedError(operation=operation, status=response.status)
+        if response.status == 503:
+            raise ServiceUnavailableError(operation=operation, status=response.status)
+        return response
+
+
+def _require_ok(operation: str, response: ClientResponse) -> None:
+    """Raises NotAppliedError unless the status is 200."""
+    if response.status != 200:
+        raise NotAppliedError("refused", operation, response.status)
--- a/spindleglade/store/replica.py
+++ b/spindleglade/store/replica.py
@@ -15,11 +15,12 @@
 
 from spindleglade.runtime.background import run_forever, run_in_background
 from spindleglade.runtime.clock import Clock, sleep
-from spindleglade.store.client import (
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import (
     NotAppliedError,
     OutcomeUnknownError,
     RevisionCompactedError,
-    StateClient,
+    StaleReplicaError,
 )
 
 log = logging.getLogger("spindleglade.store")
@@ -28,10 +29,6 @@
 Subscriber = Callable[[str, bytes | None, int], None]
 
 
-class StaleReplicaError(Exception):
-    """The replica could not be proven current."""
-
-
 class Replica:
     def __init__(
         self,
--- a/spindleglade/store/test_client.py
+++ b/spindleglade/store/test_client.py
@@ -8,18 +8,16 @@
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import NextStateLimits, StateLimits
-from spindleglade.store.client import (
-    LOWER_RATES_DURATION,
-    Condition,
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import (
     LeaseExpiredError,
     NotAppliedError,
-    Put,
     RateLimitedError,
     ServiceUnavailableError,
-    StateClient,
     ValueTooLargeError,
-    encode_value,
 )
+from spindleglade.store.messages import Condition, Put, encode_value
+from spindleglade.store.rate_limits import LOWER_RATES_DURATION
 from spindleglade.store.replica import Replica
 from tests.fakes.state_service import StateService
 
--- a/spindleglade/store/test_store.py
+++ b/spindleglade/store/test_store.py
@@ -9,8 +9,9 @@
 
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import ManualClock, seconds
-from spindleglade.store.client import Change, Entry, Listing, NotAppliedError, RevisionCompactedError
-from spindleglade.store.replica import Replica, StaleReplicaError
+from spindleglade.store.errors import NotAppliedError, RevisionCompactedError, StaleReplicaError
+from spindleglade.store.messages import Change, Entry, Listing
+from spindleglade.store.replica import Replica
 from spindleglade.store.token_bucket import TokenBucket
 
 OPS = st.lists(
--- a/spindleglade/submissions/acceptance.py
+++ b/spindleglade/submissions/acceptance.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.client import Put, encode_value
+from spindleglade.store.messages import Put, encode_value
 from spindleglade.submissions.errors import TooManyDependenciesError
 from spindleglade.submissions.records import JobRecord, dependency_key, job_key
 
--- a/spindleglade/submissions/cancellation.py
+++ b/spindleglade/submissions/cancellation.py
@@ -3,17 +3,15 @@
 import logging
 
 from spindleglade.http.server import HttpResponse
-from spindleglade.store.client import (
-    Committed,
-    Condition,
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import (
     NotAppliedError,
     OutcomeUnknownError,
-    Put,
-    StateClient,
+    StaleReplicaError,
     ValueTooLargeError,
-    encode_value,
 )
-from spindleglade.store.replica import Replica, StaleReplicaError
+from spindleglade.store.messages import Committed, Condition, Put, encode_value
+from spindleglade.store.replica import Replica
 from spindleglade.submissions.messages import JobStatus
 from spindleglade.submissions.records import JobRecord, JobState, final_record, job_key
 from spindleglade.submissions.responses import NO_SUCH_JOB, RETRY_LATER, job_response
--- a/spindleglade/submissions/status.py
+++ b/spindleglade/submissions/status.py
@@ -1,7 +1,8 @@
 """The status of jobs as users are told it: never older than what any controller has told before."""
 
 from spindleglade.http.server import HttpResponse
-from spindleglade.store.replica import Replica, StaleReplicaError
+from spindleglade.store.errors import StaleReplicaError
+from spindleglade.store.replica import Replica
 from spindleglade.submissions.job_view import JobView
 from spindleglade.submissions.records import job_key
 from spindleglade.submissions.responses import NO_SUCH_JOB, RETRY_LATER, status_response
--- a/spindleglade/submissions/submission.py
+++ b/spindleglade/submissions/submission.py
@@ -8,16 +8,15 @@
 
 from spindleglade.http.server import HttpResponse
 from spindleglade.settings.platform import Team
-from spindleglade.store.client import (
-    Committed,
-    Condition,
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import (
     NotAppliedError,
     OutcomeUnknownError,
-    Put,
-    StateClient,
+    StaleReplicaError,
     ValueTooLargeError,
 )
-from spindleglade.store.replica import Replica, StaleReplicaError
+from spindleglade.store.messages import Committed, Condition, Put
+from spindleglade.store.replica import Replica
 from spindleglade.submissions.acceptance import acceptance_writes
 from spindleglade.submissions.errors import SubmissionError, UnschedulableJobError, UnschedulableReason
 from spindleglade.submissions.messages import (
--- a/spindleglade/submissions/test_api.py
+++ b/spindleglade/submissions/test_api.py
@@ -6,15 +6,8 @@
 
 from spindleglade.runtime.background import run_in_background
 from spindleglade.settings.platform import NextStateLimits, StateLimits
-from spindleglade.store.client import (
-    Committed,
-    ConditionFailed,
-    NotAppliedError,
-    Put,
-    ValueTooLargeError,
-    encode_value,
-)
-from spindleglade.store.replica import StaleReplicaError
+from spindleglade.store.errors import NotAppliedError, StaleReplicaError, ValueTooLargeError
+from spindleglade.store.messages import Committed, ConditionFailed, Put, encode_value
 from spindleglade.submissions.api import UserApi
 from spindleglade.submissions.messages import (
     decode_submission,
--- a/spindleglade/submissions/test_dependencies.py
+++ b/spindleglade/submissions/test_dependencies.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.client import Put, encode_value
+from spindleglade.store.messages import Put, encode_value
 from spindleglade.submissions.acceptance import acceptance_writes, split_list
 from spindleglade.submissions.dependencies import DependencyGraph, DependencyOutcome
 from spindleglade.submissions.errors import TooManyDependenciesError
--- a/spindleglade/submissions/test_records.py
+++ b/spindleglade/submissions/test_records.py
@@ -6,9 +6,7 @@
 from hypothesis import strategies as st
 
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.client import (
-    encode_value,
-)
+from spindleglade.store.messages import encode_value
 from spindleglade.submissions.messages import (
     decode_submission,
 )
--- a/spindleglade/submissions/test_views.py
+++ b/spindleglade/submissions/test_views.py
@@ -2,9 +2,7 @@
 
 import pytest
 
-from spindleglade.store.client import (
-    encode_value,
-)
+from spindleglade.store.messages import encode_value
 from spindleglade.submissions.messages import (
     decode_submission,
 )
--- a/spindleglade/workers/state_writer.py
+++ b/spindleglade/workers/state_writer.py
@@ -15,16 +15,9 @@
 from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.clock import ZERO, Clock, seconds, sleep
 from spindleglade.runtime.periodic_task import PeriodicTask
-from spindleglade.store.client import (
-    Committed,
-    ConditionFailed,
-    Entry,
-    NotAppliedError,
-    OutcomeUnknownError,
-    StateClient,
-    ValueTooLargeError,
-    encode_value,
-)
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError, ValueTooLargeError
+from spindleglade.store.messages import Committed, ConditionFailed, Entry, encode_value
 from spindleglade.submissions.records import JOBS, JobRecord, job_key
 from spindleglade.workers.cluster_state import ClusterState
 from spindleglade.workers.write_batch import WriteBatch
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -11,7 +11,7 @@
 from spindleglade.leadership.term import Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
-from spindleglade.store.client import Entry, Listing, encode_value
+from spindleglade.store.messages import Entry, Listing, encode_value
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, job_key
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.jobs import WAITING
--- a/spindleglade/workers/test_heartbeats.py
+++ b/spindleglade/workers/test_heartbeats.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 
 from spindleglade.runtime.clock import ManualClock, seconds
-from spindleglade.store.client import encode_value
+from spindleglade.store.messages import encode_value
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, job_key, range_key
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.api import LeaderAccess, WorkerApi
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -16,16 +16,9 @@
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.client import (
-    Committed,
-    ConditionFailed,
-    Entry,
-    NotAppliedError,
-    OutcomeUnknownError,
-    Put,
-    StateClient,
-    encode_value,
-)
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
+from spindleglade.store.messages import Committed, ConditionFailed, Entry, Put, encode_value
 from spindleglade.submissions.records import (
     JOBS,
     OVERFLOW_RANGES,
--- a/spindleglade/workers/test_state_writer_errors.py
+++ b/spindleglade/workers/test_state_writer_errors.py
@@ -6,7 +6,8 @@
 from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.leadership.term import Term
 from spindleglade.runtime.clock import ManualClock, seconds
-from spindleglade.store.client import Put, ValueTooLargeError, encode_value
+from spindleglade.store.errors import ValueTooLargeError
+from spindleglade.store.messages import Put, encode_value
 from spindleglade.submissions.records import JobRecord, job_key, range_key
 from spindleglade.workers.jobs import DONE
 from spindleglade.workers.messages import Heartbeat
--- a/spindleglade/workers/write_collection.py
+++ b/spindleglade/workers/write_collection.py
@@ -3,7 +3,7 @@
 import logging
 from typing import NamedTuple
 
-from spindleglade.store.client import encode_value
+from spindleglade.store.messages import encode_value
 from spindleglade.submissions.records import (
     OVERFLOW_RANGES,
     TASK_RANGES,
--- a/spindleglade/workers/write_transaction.py
+++ b/spindleglade/workers/write_transaction.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from spindleglade.leadership.election import LEADER
-from spindleglade.store.client import Condition, Delete, Put, encode_value
+from spindleglade.store.messages import Condition, Delete, Put, encode_value
 from spindleglade.submissions.records import job_key
 from spindleglade.workers.write_batch import TaskRangeWrite, WriteBatch
 
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -10,7 +10,8 @@
 from spindleglade.controller.leader import Leader
 from spindleglade.fleet.autoscaler import Autoscaler
 from spindleglade.runtime.clock import seconds
-from spindleglade.store.client import NotAppliedError, StateClient
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import NotAppliedError
 from spindleglade.workers.cluster_state import ClusterState
 from tests.deployment_config import DeploymentConfig
 from tests.faults import FAULTS, do
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -34,7 +34,7 @@
 from spindleglade.runtime.clock import ZERO, ManualClock
 from spindleglade.settings import operator, platform
 from spindleglade.settings.errors import SettingsError
-from spindleglade.store import client as store
+from spindleglade.store import messages as store
 from spindleglade.store.client import StateClient
 from spindleglade.store.replica import Replica
 from spindleglade.submissions import messages as users
@@ -78,16 +78,16 @@
     "cloud: page of machines": Form(cloud.MachinePage),
     "store: entry": Form(store.Entry),
     "store: change": Form(store.Change),
-    "store: page of entries": Form(store._ListResponse),
-    "store: watch answer": Form(store._WatchResponse),
-    "store: revision": Form(store._CommitResponse),
-    "store: conflict": Form(store._ConflictResponse),
-    "store: lease": Form(store._LeaseResponse),
+    "store: page of entries": Form(store.ListResponse),
+    "store: watch answer": Form(store.WatchResponse),
+    "store: revision": Form(store.CommitResponse),
+    "store: conflict": Form(store.ConflictResponse),
+    "store: lease": Form(store.LeaseResponse),
     "store: condition": Form(store.Condition),
     "store: put": Form(store.Put),
     "store: delete": Form(store.Delete),
-    "store: transaction": Form(store._TransactionRequest, encode_only=True),
-    "store: lease request": Form(store._LeaseRequest),
+    "store: transaction": Form(store.TransactionRequest, encode_only=True),
+    "store: lease request": Form(store.LeaseRequest),
     "controllers: ping": Form(peer_messages.PeerHeartbeat, msgspec.msgpack),
     "controllers: relay": Form(peer_messages.HeartbeatRelayRequest, msgspec.msgpack),
     "controllers: relayed": Form(peer_messages.HeartbeatRelayResponse, msgspec.msgpack),
