--- a/spindleglade/store/__init__.py
+++ b/spindleglade/store/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: client, rate budget and each node's replica."""
+"""The state service: its client, the rates it allows, and the replica that each controller keeps of it."""
--- a/spindleglade/store/test_client.py
+++ b/spindleglade/store/test_client.py
@@ -1,4 +1,4 @@
-"""The client of the state service against a stand-in whose limits fall."""
+"""The client of the state service against a fake whose limits fall."""
 
 import msgspec
 import pytest
@@ -24,133 +24,134 @@
 LIMITS = StateLimits(100.0, 40.0, 16.0, 12, NextStateLimits(50.0, 10.0, 2.0, 4))
 
 
-class Direct:
-    """Hands requests to the stand-in at once; `answers` has statuses to be given instead."""
+class DirectRequester:
+    """Hands requests to the fake service at once; `statuses` are to be responded instead."""
 
     def __init__(self, service):
-        self.service, self.answers, self.sent = service, [], []
+        self.service, self.statuses, self.sent = service, [], []
 
     async def request(self, method, address, path, body=None, timeout=None):
         self.sent.append(path)
-        if self.answers:
-            return ClientResponse(self.answers.pop(0), b"{}")
-        answer = self.service.handle(method, path, body or b"")
-        return ClientResponse(*(await answer if isinstance(answer, Deferred) else answer))
+        if self.statuses:
+            return ClientResponse(self.statuses.pop(0), b"{}")
+        response = self.service.handle(method, path, body or b"")
+        return ClientResponse(*(await response if isinstance(response, Deferred) else response))
 
 
-def make(limits=LIMITS, **given):
+def make(limits=LIMITS, **settings):
     clock = ManualClock()
-    line = Direct(StateService(clock, **given))
-    return clock, line, StateClient(line, "", clock, limits, 1, seconds(1))
+    requester = DirectRequester(StateService(clock, **settings))
+    return clock, requester, StateClient(requester, "", clock, limits, 1, seconds(1))
 
 
 def call(work):
-    """What came of it; empty while it waits."""
-    ended = []
+    """The result or the error, in a list that is empty while the call waits."""
+    outcomes = []
 
-    async def asked():
+    async def run():
         try:
             return await work
         except (NotAppliedError, LeaseExpiredError) as error:
             return error
 
-    run_in_background(asked(), "call").addCallback(ended.append)
-    return ended
+    run_in_background(run(), "call").addCallback(outcomes.append)
+    return outcomes
 
 
-@pytest.mark.parametrize(("status", "kind"), [(429, RateLimitedError), (503, ServiceUnavailableError)])
-def test_refusals_are_told_apart(status, kind):
-    _, line, client = make()
-    line.answers = [status]
+@pytest.mark.parametrize(("status", "error_type"), [(429, RateLimitedError), (503, ServiceUnavailableError)])
+def test_each_status_of_refusal_has_its_error(status, error_type):
+    _, requester, client = make()
+    requester.statuses = [status]
     (error,) = call(client.get("a"))
-    assert type(error) is kind and isinstance(error, NotAppliedError)
+    assert type(error) is error_type and isinstance(error, NotAppliedError)
 
 
-def test_the_first_400_for_size_makes_values_smaller():
-    _, line, client = make()
-    line.service.lower_limits(2.0, 4)
+def test_the_first_refusal_for_size_applies_the_smaller_value_limit():
+    _, requester, client = make()
+    requester.service.lower_limits(2.0, 4)
     large = [Put("sg/a", encode_value("x" * 3000))]
     assert client.value_bytes == 16 * 1024
     (error,) = call(client.compare_and_swap([Condition("sg/a", 0)], large))
     assert type(error) is ValueTooLargeError and client.value_bytes == LIMITS.value_bytes < 2048
-    # A lease that has ended is no matter of size.
-    _, line, client = make()
+    # A refusal for an expired lease does not.
+    _, requester, client = make()
     (error,) = call(client.compare_and_swap([], [Put("sg/a", encode_value(1), lease=9)]))
     assert type(error) is LeaseExpiredError and client.value_bytes == 16 * 1024
 
 
-def changes_in(clock, client, length):
-    """How many single ordinary changes are made within that time, one after the other."""
-    made = []
+def count_writes(clock, client, duration):
+    """How many ordinary transactions of one write succeed within that time, one after the other."""
+    written_at = []
 
     async def write():
         while True:
             try:
-                await client.compare_and_swap([], [Put("sg/a", encode_value(len(made)))])
-                made.append(clock.now())
+                await client.compare_and_swap([], [Put("sg/a", encode_value(len(written_at)))])
+                written_at.append(clock.now())
             except NotAppliedError:
                 pass
 
     run_in_background(write(), "writing")
-    before = len(made)
-    clock.advance(length)
-    return len(made) - before
+    before = len(written_at)
+    clock.advance(duration)
+    return len(written_at) - before
 
 
-def test_after_a_429_the_lower_rates_are_kept_to_for_a_while():
-    clock, line, client = make()
-    assert changes_in(clock, client, seconds(10)) > 200
-    line.answers = [429]
+def test_after_a_429_the_lower_rates_are_in_force_for_a_while():
+    clock, requester, client = make()
+    assert count_writes(clock, client, seconds(10)) > 200
+    requester.statuses = [429]
     clock.advance(seconds(1))
-    asked = len(line.sent)
+    sent_before = len(requester.sent)
     clock.advance(LOWER_RATES_DURATION - seconds(2))
-    lower = (len(line.sent) - asked) / (LOWER_RATES_DURATION - seconds(2)).total_seconds()
+    lower = (len(requester.sent) - sent_before) / (LOWER_RATES_DURATION - seconds(2)).total_seconds()
     assert 5 < lower <= LIMITS.lowest.write_rps and client.request_interval == seconds(3 / 50)
     clock.advance(seconds(3))
-    asked = len(line.sent)
+    sent_before = len(requester.sent)
     clock.advance(seconds(10))
-    assert len(line.sent) - asked > 200 and client.request_interval == seconds(3 / 100)
+    assert len(requester.sent) - sent_before > 200 and client.request_interval == seconds(3 / 100)
 
 
-def test_without_limits_to_come_a_429_changes_no_rate():
-    clock, line, client = make(StateLimits(100.0, 40.0, 16.0, 12))
-    line.answers = [429]
+def test_without_announced_limits_a_429_changes_no_rate():
+    clock, requester, client = make(StateLimits(100.0, 40.0, 16.0, 12))
+    requester.statuses = [429]
     assert type(call(client.get("a"))[0]) is RateLimitedError
-    assert client.request_interval == seconds(3 / 100) and changes_in(clock, client, seconds(10)) > 200
+    assert client.request_interval == seconds(3 / 100) and count_writes(clock, client, seconds(10)) > 200
 
 
-def test_ordinary_requests_yield_while_they_are_held_back():
-    clock, line, client = make()
+def test_ordinary_requests_wait_while_they_are_paused():
+    clock, requester, client = make()
     client.pause_ordinary_requests(seconds(2))
     ordinary, listing = (
         call(client.compare_and_swap([], [Put("sg/a", encode_value(1))])),
         call(client.read_all("sg/")),
     )
     urgent = call(client.compare_and_swap([], [Put("sg/b", encode_value(1))], urgent=True))
-    assert urgent and not ordinary and not listing and len(line.sent) == 1
+    assert urgent and not ordinary and not listing and len(requester.sent) == 1
     clock.advance(seconds(2))
     assert ordinary and listing
 
 
-def test_a_listing_of_several_pages_shows_what_moved_while_it_was_read():
-    """Parts sort before what they are taken from: the first page lacked it, a later one the old value."""
-    clock, line, client = make()
-    service = line.service
+def test_a_listing_of_several_pages_shows_what_was_split_while_it_was_read():
+    """Overflow ranges sort before the value that they are split from: the first page lacks the new range, and
+    a later one no longer has its tasks in the old value."""
+    clock, requester, client = make()
+    service = requester.service
     service._write([{"set": f"sg/a{number}", "v": 0} for number in range(9)] + [{"set": "sg/z", "v": "all"}])
     handle = service.handle
 
-    def move(method, path, body):
-        answer = handle(method, path, body)
+    def split_after_first_page(method, path, body):
+        response = handle(method, path, body)
         if path.startswith("/kv") and "since" not in path:
             service._write([{"set": "sg/a", "v": "right"}])
             service._write([{"set": "sg/z", "v": "left"}])
-        return answer
+        return response
 
-    service.handle = move
+    service.handle = split_after_first_page
     held, seen = {}, []
     replica = Replica(client, clock, "sg/", seconds(10), seconds(1))
     replica.subscribe(lambda key, value, mod_revision: held.__setitem__(key, msgspec.json.decode(value)))
-    proven = replica._record_catch_up
-    replica._record_catch_up = lambda asked: (seen.append(dict(held)), proven(asked))
+    record_catch_up = replica._record_catch_up
+    replica._record_catch_up = lambda started_at: (seen.append(dict(held)), record_catch_up(started_at))
     replica.start()
     assert seen and seen[0]["sg/z"] == "left" and seen[0]["sg/a"] == "right"
--- a/spindleglade/store/test_store.py
+++ b/spindleglade/store/test_store.py
@@ -1,4 +1,4 @@
-"""The replica under generated answers, and the budget."""
+"""The replica under generated responses, and the token bucket."""
 
 from datetime import timedelta
 
@@ -20,7 +20,7 @@
 
 
 class Store:
-    """What a correct service would hold and answer, change by change."""
+    """What a correct service would hold and respond, change by change."""
 
     def __init__(self, ops):
         self.log, self.at = [], []
@@ -38,29 +38,29 @@
         return revision, [change for change in self.log if since < change.mod_revision <= revision]
 
 
-class Idle:
-    """A client that is never asked."""
+class IdleClient:
+    """A client that gets no request."""
 
 
 def make(client=None):
     clock = ManualClock()
-    replica = Replica(client or Idle(), clock, "", seconds(10), seconds(1))
+    replica = Replica(client or IdleClient(), clock, "", seconds(10), seconds(1))
     held: dict[str, int] = {}
 
-    def subscribe(key, value, mod_revision):
+    def on_change(key, value, mod_revision):
         if value is None:
             held.pop(key, None)
         else:
             held[key] = int(value)
 
-    replica.subscribe(subscribe)
+    replica.subscribe(on_change)
     return clock, replica, held
 
 
 @given(OPS, st.lists(st.tuples(st.integers(0, 30), st.integers(0, 30)), max_size=12))
-def test_overlapping_answers_leave_the_state_of_the_newest(ops, answers):
-    """Answers of the long watch and of catch-ups overlap and come late; each begins where the replica was
-    when it was asked for, and that is never later than where it is."""
+def test_overlapping_responses_leave_the_state_of_the_newest(ops, answers):
+    """Responses to the long watch and to catch-ups overlap and come late; each begins at the revision that
+    the replica had at the request, which is never later than the one it has."""
     store = Store(ops)
     _, replica, held = make()
     for back, ahead in answers:
@@ -81,17 +81,17 @@
 )
 def test_a_listing_overtaken_by_catch_ups_brings_nothing_back(ops, steps):
     """Pages are read one after the other while the keys change, and the last may arrive after catch-ups that
-    were asked later. A key that was removed meanwhile came back for good then: with the leader key, nobody
-    would ever have stood for election again."""
+    were requested later. A key that was removed meanwhile must not come back: with the leader key back for
+    good, no controller would ever campaign again."""
     store = Store(ops)
-    client, newest = Scripted(), len(store.log)
+    client, newest = ScriptedClient(), len(store.log)
     _, replica, held = make(client)
     for listing, back, ahead, step in steps:
         if not listing:
             since = max(0, replica.revision - back)
             replica.apply(*store.changes(since, min(newest, since + ahead)))
         else:
-            # What the replica had when it asked may be older than what it has when the answer comes.
+            # What the replica had at the request may be older than what it has at the response.
             revision = at = max(0, replica.revision - back)
             entries = []
             for key in "abc":
@@ -101,9 +101,9 @@
                 at = min(newest, at + step)
             before = replica.revision
             run_in_background(replica._load(), "load")
-            client.asked.pop().callback(Listing(entries, revision))
+            client.requests.pop().callback(Listing(entries, revision))
             assert replica.revision == max(before, revision)
-            # Later pages may be ahead of the turn; what follows from there makes up for it.
+            # Later pages may be ahead of the revision; the changes from there make up for it.
             replica.apply(*store.changes(replica.revision, min(newest, max(replica.revision, at) + ahead)))
             if replica.revision < at:
                 continue
@@ -112,71 +112,71 @@
         assert replica.mod_revisions == {key: mod_revision for key, (_, mod_revision) in expected.items()}
 
 
-class Scripted:
-    """Answers a listing or a watch when the test says so."""
+class ScriptedClient:
+    """Responds to a listing or a watch when the test says so."""
 
     def __init__(self):
-        self.asked: list[Deferred] = []
+        self.requests: list[Deferred] = []
 
-    def _ask(self):
+    def _add_request(self):
         waiter = Deferred()
-        self.asked.append(waiter)
+        self.requests.append(waiter)
         return waiter
 
     def read_all(self, prefix):
-        return self._ask()
+        return self._add_request()
 
-    def watch(self, prefix, since, wait):
-        return self._ask()
+    def watch(self, prefix, since, max_wait):
+        return self._add_request()
 
 
 def loaded():
-    client = Scripted()
+    client = ScriptedClient()
     clock, replica, held = make(client)
     replica.start()
-    client.asked.pop(0).callback(Listing([Entry("a", msgspec.Raw(b"1"), 3)], 5))
+    client.requests.pop(0).callback(Listing([Entry("a", msgspec.Raw(b"1"), 3)], 5))
     # The long watch is under way now.
-    client.asked.pop(0)
+    client.requests.pop(0)
     return client, clock, replica, held
 
 
-def test_a_proof_is_begun_after_the_question_and_shared():
+def test_a_catch_up_starts_after_the_call_and_is_shared():
     client, _, replica, _ = loaded()
     fired = []
     replica.catch_up().addCallback(lambda _: fired.append("first"))
-    # These came while a catch-up was under way, which may be older than they are.
+    # These are called while a catch-up is under way, which may be older than they are.
     replica.catch_up().addCallback(lambda _: fired.append("second"))
     replica.catch_up().addCallback(lambda _: fired.append("third"))
-    assert len(client.asked) == 1
-    client.asked.pop(0).callback((6, []))
+    assert len(client.requests) == 1
+    client.requests.pop(0).callback((6, []))
     assert fired == ["first"]
-    assert len(client.asked) == 1
-    client.asked.pop(0).callback((6, []))
-    assert fired == ["first", "second", "third"] and not client.asked
+    assert len(client.requests) == 1
+    client.requests.pop(0).callback((6, []))
+    assert fired == ["first", "second", "third"] and not client.requests
 
 
-def test_without_the_store_nothing_is_confirmed():
+def test_without_the_store_catch_ups_fail():
     client, _, replica, _ = loaded()
     failed = []
     before = replica.current_as_of
     replica.catch_up().addErrback(lambda failure: failed.append(failure.check(StaleReplicaError)))
-    client.asked.pop(0).errback(NotAppliedError("503"))
+    client.requests.pop(0).errback(NotAppliedError("503"))
     assert failed == [StaleReplicaError] and replica.current_as_of == before
 
 
-def test_a_replica_that_is_too_old_reads_all_again():
-    client = Scripted()
+def test_a_replica_whose_revision_is_compacted_reads_all_again():
+    client = ScriptedClient()
     clock, replica, held = make(client)
     replica.start()
-    client.asked.pop(0).callback(
+    client.requests.pop(0).callback(
         Listing([Entry("a", msgspec.Raw(b"1"), 3), Entry("b", msgspec.Raw(b"2"), 4)], 5)
     )
-    client.asked.pop(0).errback(RevisionCompactedError())
-    client.asked.pop(0).callback(Listing([Entry("b", msgspec.Raw(b"7"), 20_000)], 20_000))
+    client.requests.pop(0).errback(RevisionCompactedError())
+    client.requests.pop(0).callback(Listing([Entry("b", msgspec.Raw(b"7"), 20_000)], 20_000))
     assert held == {"b": 7} and replica.revision == 20_000
 
 
-def test_one_listeners_trouble_does_not_end_the_watch():
+def test_an_error_of_one_subscriber_does_not_end_the_watch():
     client, _, replica, held = loaded()
     replica.subscribe(lambda key, value, mod_revision: 1 / 0)
     replica.apply(9, [Change(9, put="c", value=msgspec.Raw(b"4"))])
@@ -186,32 +186,32 @@
 @given(st.lists(st.tuples(st.floats(0, 2), st.integers(1, 5), st.booleans()), max_size=40))
 def test_no_more_than_the_share_is_used_over_time(spends):
     clock = ManualClock()
-    budget = TokenBucket(clock, 10.0, 10.0)
+    bucket = TokenBucket(clock, 10.0, 10.0)
     used, latest = 0.0, timedelta(0)
     for pause, amount, urgent in spends:
         clock.advance(seconds(pause))
         if urgent:
             continue
-        latest = max(latest, clock.now() + budget.reserve(amount))
+        latest = max(latest, clock.now() + bucket.reserve(amount))
         used += amount
     assert used <= 10.0 + 10.0 * latest.total_seconds() + 1e-6
 
 
-def test_a_catch_up_that_breaks_leaves_the_next_one_to_begin(monkeypatch):
-    """One that ended early was taken to be under way for ever, and nothing was confirmed any more."""
+def test_after_a_catch_up_that_raises_the_next_one_still_begins(monkeypatch):
+    """Else it would be taken to be under way for ever, and no catch-up would ever succeed."""
 
-    class Answers:
-        async def watch(self, prefix, since, wait):
+    class RespondingClient:
+        async def watch(self, prefix, since, max_wait):
             return 1, []
 
-    clock, replica, _ = make(Answers())
+    clock, replica, _ = make(RespondingClient())
     replica.loaded = True
     log_catch_up = replica._log_catch_up
 
-    def breaks(reason):
+    def fail(reason):
         raise ValueError
 
-    monkeypatch.setattr(replica, "_log_catch_up", breaks)
+    monkeypatch.setattr(replica, "_log_catch_up", fail)
     replica.catch_up()
     monkeypatch.setattr(replica, "_log_catch_up", log_catch_up)
     current_as_of = []
@@ -219,22 +219,22 @@
     assert current_as_of == [None]
 
 
-def test_failing_catch_ups_are_logged_once_and_their_end_as_well(caplog):
+def test_the_first_failed_catch_up_and_the_next_success_are_logged(caplog):
     caplog.set_level("INFO")
-    fails = [NotAppliedError("no"), NotAppliedError("no"), None, None]
+    outcomes = [NotAppliedError("no"), NotAppliedError("no"), None, None]
 
-    class Answers:
-        async def watch(self, prefix, since, wait):
-            error = fails.pop(0)
+    class RespondingClient:
+        async def watch(self, prefix, since, max_wait):
+            error = outcomes.pop(0)
             if error is not None:
                 raise error
             return 7, []
 
-    clock, replica, _ = make(Answers())
+    clock, replica, _ = make(RespondingClient())
     replica.loaded = True
-    while fails:
+    while outcomes:
         replica.catch_up().addErrback(lambda failure: failure.trap(StaleReplicaError))
     assert [record.getMessage() for record in caplog.records] == [
-        "catch-up failed turn=0 loaded=True reason=no",
-        "catch-ups succeed again turn=7 failed=2",
+        "catch-up failed revision=0 loaded=True reason=no",
+        "catch-ups succeed again revision=7 failed=2",
     ]
