--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -73,8 +73,8 @@
         platform,
         settings,
         clock,
-        HttpClient(reactor, per_host=8),
-        ConcurrencyLimiter(HttpClient(reactor, per_host=1, sockets=sockets), clock, sockets),
+        HttpClient(reactor, connections_per_host=8),
+        ConcurrencyLimiter(HttpClient(reactor, 1, sockets), clock, sockets),
         connect,
         partial(deferToThreadPool, reactor, pool),
     )
--- a/spindleglade/http/client.py
+++ b/spindleglade/http/client.py
@@ -1,4 +1,4 @@
-"""Outgoing HTTP requests over kept connections."""
+"""Outgoing HTTP requests over connections that are kept."""
 
 from datetime import timedelta
 from typing import Any, NamedTuple, Protocol
@@ -12,76 +12,26 @@
 
 from spindleglade.http.connection_budget import ConnectionBudget
 from spindleglade.http.errors import NoResponseError, NotSentError
+from spindleglade.runtime.clock import seconds
+
+# How long a request may take of which the caller does not say.
+DEFAULT_TIMEOUT = seconds(5)
+# How long making a connection may take.
+CONNECT_TIMEOUT = seconds(2)
+# How long an idle connection is kept.
+IDLE_LIMIT = seconds(60)
 
 
 class ClientResponse(NamedTuple):
+    """The response to an outgoing request."""
+
     status: int
     body: bytes
 
 
-@implementer(IBodyProducer)
-class _Body:
-    def __init__(self, body: bytes) -> None:
-        self.body = body
-        self.length = len(body)
-
-    def startProducing(self, consumer: Any) -> defer.Deferred[None]:
-        consumer.write(self.body)
-        return defer.succeed(None)
-
-    def pauseProducing(self) -> None: ...
-
-    def resumeProducing(self) -> None: ...
-
-    def stopProducing(self) -> None: ...
-
-
-class _TrackedEndpoint(TCP4ClientEndpoint):
-    """Connects by number; a failure to connect is told apart from a lost answer. Connections are counted from
-    the attempt to the end: one that hangs holds a socket too."""
-
-    sockets: ConnectionBudget | None = None
-
-    def connect(self, factory: Any) -> defer.Deferred[Any]:
-        sockets = self.sockets
-
-        def failed(failure: Any) -> Any:
-            if sockets is not None:
-                sockets.on_closed()
-            if failure.check(defer.CancelledError):
-                return failure
-            raise NotSentError(failure.getErrorMessage())
-
-        def made(protocol: Any) -> Any:
-            if sockets is not None:
-                ended = protocol.connectionLost
-
-                def lost(reason: Any) -> None:
-                    sockets.on_closed()
-                    ended(reason)
-
-                protocol.connectionLost = lost
-            return protocol
-
-        if sockets is not None:
-            sockets.on_opened()
-        return super().connect(factory).addCallbacks(made, failed)
-
-
-@implementer(IAgentEndpointFactory)
-class _Endpoints:
-    def __init__(self, reactor: Any, connect_timeout: timedelta, sockets: ConnectionBudget | None) -> None:
-        self.reactor = reactor
-        self.timeout = connect_timeout.total_seconds()
-        self.sockets = sockets
-
-    def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:
-        made = _TrackedEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=self.timeout)
-        made.sockets = self.sockets
-        return made
-
-
 class Requester(Protocol):
+    """Sends requests; implemented by the HTTP client, and by the fakes of tests."""
+
     async def request(
         self,
         method: str,
@@ -90,12 +40,15 @@
         body: bytes | None = None,
         timeout: timedelta | None = None,
     ) -> ClientResponse:
-        """Raises NotSent or NoAnswer; every call ends within its timeout."""
+        """The response of `address` (host:port); every call ends within its timeout.
+
+        Raises NotSentError or NoResponseError.
+        """
         ...
 
 
 class PooledRequester(Requester, Protocol):
-    """One that keeps its connections."""
+    """A requester that keeps its connections."""
 
     def close_idle_connections(self) -> None:
         """Closes the connections that are kept and not in use."""
@@ -103,25 +56,20 @@
 
 
 class HttpClient:
-    """Requests over kept connections, counted in `sockets`; every call ends within its timeout."""
+    """Requests over kept connections, counted in `connection_budget`; implements PooledRequester."""
 
     def __init__(
-        self,
-        reactor: Any,
-        per_host: int,
-        connect_timeout: timedelta = timedelta(seconds=2),
-        idle: timedelta = timedelta(seconds=60),
-        sockets: ConnectionBudget | None = None,
+        self, reactor: Any, connections_per_host: int, connection_budget: ConnectionBudget | None = None
     ) -> None:
         self._reactor = reactor
         pool = HTTPConnectionPool(reactor, persistent=True)
-        pool.maxPersistentPerHost = per_host
-        pool.cachedConnectionTimeout = idle.total_seconds()
-        # A lost answer is the callers' business: only they know whether the request may be repeated.
+        pool.maxPersistentPerHost = connections_per_host
+        pool.cachedConnectionTimeout = IDLE_LIMIT.total_seconds()
+        # Only the callers know whether a request without a response may be repeated.
         pool.retryAutomatically = False
         self._pool = pool
         self._agent = Agent.usingEndpointFactory(
-            reactor, _Endpoints(reactor, connect_timeout, sockets), pool=pool
+            reactor, _EndpointFactory(reactor, connection_budget), pool=pool
         )
         self._headers = Headers({b"Content-Type": [b"application/json"]})
 
@@ -133,25 +81,104 @@
         body: bytes | None = None,
         timeout: timedelta | None = None,
     ) -> ClientResponse:
-        timeout = timeout or timedelta(seconds=5)
-        sent = self._agent.request(
+        """See Requester."""
+        timeout = timeout or DEFAULT_TIMEOUT
+        response = self._agent.request(
             method.encode(),
             f"http://{address}{path}".encode(),
             self._headers if body is not None else None,
-            _Body(body) if body is not None else None,
+            _RequestBody(body) if body is not None else None,
         )
-        whole: defer.Deferred[ClientResponse] = sent.addCallback(self._read)
-        whole.addTimeout(timeout.total_seconds(), self._reactor)
+        whole_response: defer.Deferred[ClientResponse] = response.addCallback(self._read_body)
+        whole_response.addTimeout(timeout.total_seconds(), self._reactor)
         try:
-            return await whole
+            return await whole_response
         except NotSentError:
             raise
         except Exception as error:
-            raise NoResponseError(f"{method} {path}: {type(error).__name__} {error}") from None
+            raise NoResponseError(f"{type(error).__name__} {error}", f"{method} {path}") from error
 
     def close_idle_connections(self) -> None:
+        """See PooledRequester."""
         self._pool.closeCachedConnections()
 
     @staticmethod
-    def _read(response: Any) -> defer.Deferred[ClientResponse]:
+    def _read_body(response: Any) -> defer.Deferred[ClientResponse]:
         return readBody(response).addCallback(lambda body: ClientResponse(response.code, body))
+
+
+@implementer(IBodyProducer)
+class _RequestBody:
+    """A body that is written at once."""
+
+    def __init__(self, body: bytes) -> None:
+        self.body = body
+        self.length = len(body)
+
+    def startProducing(self, consumer: Any) -> defer.Deferred[None]:
+        consumer.write(self.body)
+        return defer.succeed(None)
+
+    def pauseProducing(self) -> None: ...
+
+    def resumeProducing(self) -> None: ...
+
+    def stopProducing(self) -> None: ...
+
+
+class _TrackedEndpoint(TCP4ClientEndpoint):
+    """Connects by IP address, and tells a failure to connect apart from a missing response.
+
+    Connections are counted from the attempt to the end: one whose attempt hangs holds a socket too.
+    """
+
+    def __init__(
+        self,
+        reactor: Any,
+        host: str,
+        port: int,
+        timeout: timedelta = CONNECT_TIMEOUT,
+        connection_budget: ConnectionBudget | None = None,
+    ) -> None:
+        super().__init__(reactor, host, port, timeout=timeout.total_seconds())
+        self._address = (host, port)
+        self._connection_budget = connection_budget
+
+    def connect(self, factory: Any) -> defer.Deferred[Any]:
+        """Makes a connection; fails with NotSentError."""
+        if self._connection_budget is not None:
+            self._connection_budget.on_opened()
+        return super().connect(factory).addCallbacks(self._on_connected, self._on_failed)
+
+    def _on_connected(self, protocol: Any) -> Any:
+        budget = self._connection_budget
+        if budget is None:
+            return protocol
+        connection_lost = protocol.connectionLost
+
+        def on_connection_lost(reason: Any) -> None:
+            budget.on_closed()
+            connection_lost(reason)
+
+        protocol.connectionLost = on_connection_lost
+        return protocol
+
+    def _on_failed(self, failure: Any) -> Any:
+        if self._connection_budget is not None:
+            self._connection_budget.on_closed()
+        if failure.check(defer.CancelledError):
+            return failure
+        host, port = self._address
+        raise NotSentError(failure.getErrorMessage(), f"connect to {host}:{port}") from failure.value
+
+
+@implementer(IAgentEndpointFactory)
+class _EndpointFactory:
+    def __init__(self, reactor: Any, connection_budget: ConnectionBudget | None) -> None:
+        self._reactor = reactor
+        self._connection_budget = connection_budget
+
+    def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:
+        return _TrackedEndpoint(
+            self._reactor, uri.host.decode(), uri.port, CONNECT_TIMEOUT, self._connection_budget
+        )
--- a/spindleglade/http/concurrency.py
+++ b/spindleglade/http/concurrency.py
@@ -7,21 +7,24 @@
 from spindleglade.http.client import ClientResponse, PooledRequester
 from spindleglade.http.connection_budget import ConnectionBudget
 from spindleglade.http.errors import ConnectionLimitError
-from spindleglade.runtime.clock import Clock
+from spindleglade.runtime.clock import Clock, seconds
 
-# How long a request waits for its turn.
-MAX_QUEUE_TIME = timedelta(seconds=0.5)
+# How long a request waits for others to end.
+MAX_QUEUE_TIME = seconds(0.5)
 
 
 class ConcurrencyLimiter:
-    """Lets only so many requests be under way at a time, and keeps connections only while there are enough to
-    spare. After all controllers have restarted, a leader has something to say to every machine at once."""
+    """A requester with only so many requests under way at a time.
 
-    def __init__(self, http: PooledRequester, clock: Clock, sockets: ConnectionBudget) -> None:
+    It keeps connections only while there are enough to spare: after all controllers have restarted, a leader
+    has something to send to every machine at once.
+    """
+
+    def __init__(self, http: PooledRequester, clock: Clock, connection_budget: ConnectionBudget) -> None:
         self._http = http
         self._clock = clock
-        self._connection_budget = sockets
-        self.max_concurrent = sockets.max_concurrent_commands
+        self._connection_budget = connection_budget
+        self.max_concurrent = connection_budget.max_concurrent_commands
         self._semaphore = defer.DeferredSemaphore(self.max_concurrent)
 
     async def request(
@@ -32,19 +35,24 @@
         body: bytes | None = None,
         timeout: timedelta | None = None,
     ) -> ClientResponse:
-        turn = self._semaphore.acquire()
-        late = None if turn.called else self._clock.later(MAX_QUEUE_TIME, turn.cancel)
-        try:
-            await turn
-        except defer.CancelledError:
-            raise ConnectionLimitError(f"{method} {path}: too many under way") from None
-        if late is not None and late.active():
-            late.cancel()
+        """See Requester; raises ConnectionLimitError if too many requests are under way, or no connection is
+        to spare."""
+        await self._acquire(f"{method} {path}")
         try:
             if self._connection_budget.exhausted:
-                raise ConnectionLimitError(f"{method} {path}: no connection to spare")
+                raise ConnectionLimitError("no connection to spare", f"{method} {path}")
             return await self._http.request(method, address, path, body, timeout)
         finally:
             self._semaphore.release()
             if self._connection_budget.nearly_exhausted:
                 self._http.close_idle_connections()
+
+    async def _acquire(self, operation: str) -> None:
+        acquired = self._semaphore.acquire()
+        timer = None if acquired.called else self._clock.later(MAX_QUEUE_TIME, acquired.cancel)
+        try:
+            await acquired
+        except defer.CancelledError as error:
+            raise ConnectionLimitError("too many requests under way", operation) from error
+        if timer is not None and timer.active():
+            timer.cancel()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -37,7 +37,7 @@
     def __init__(self, folder, roots=(ROOT,) * 3):
         """`roots` are the checkouts that the three controllers run."""
         self.clock = ReactorClock(reactor)
-        self.http = HttpClient(reactor, per_host=2)
+        self.http = HttpClient(reactor, connections_per_host=2)
         self.state = StateService(self.clock)
         self.cloud = Cloud(self.clock, random.Random(1), TYPES, 4, self.machine_up, lambda name: None)
         self.jobs, self.workers, self.ports = {}, {}, []
