--- a/spindleglade/backfill/planning_state.py
+++ b/spindleglade/backfill/planning_state.py
@@ -1,115 +1,74 @@
-"""A planning round's state: the open machines as columns, what teams use, and what fits where."""
+"""The state of a planning pass: machines, the teams' usage, and which tasks fit where."""
 
 import numpy as np
 
 from spindleglade.backfill.arrays import Array, Counts, Mask
+from spindleglade.backfill.machine_columns import MachineColumns
 from spindleglade.backfill.plan import Plan
-from spindleglade.backfill.probability import Reservation
-from spindleglade.backfill.snapshot import JobView, MachineView, RunningTask, Snapshot
-
-
-class MachineColumns:
-    """The open machines as columns."""
-
-    def __init__(self, machines: list[MachineView]) -> None:
-        # What each has free: CPUs, GPUs, memory.
-        self.free = np.array(
-            [(view.free_cpus, view.free_gpus, view.free_memory) for view in machines], float
-        ).reshape(-1, 3)
-        self.spot = np.array([view.spot for view in machines], bool)
-        self.fetch_gb_per_s = np.array([view.fetch_gb_per_s for view in machines], float)
-        self.fetch_counts = np.array([len(view.fetching) for view in machines], float)
-        self.index = {view.name: at for at, view in enumerate(machines)}
-        self.zones: dict[str, Mask] = {}
-        self.types: dict[str, Mask] = {}
-        # Where each image is, and where it is being fetched.
-        self.images: dict[str, list[int]] = {}
-        self.fetching: dict[str, set[int]] = {}
-        self.reserved: list[int] = []
-        for at, view in enumerate(machines):
-            if view.zone not in self.zones:
-                self.zones[view.zone] = np.zeros(len(machines), bool)
-            self.zones[view.zone][at] = True
-            if view.type not in self.types:
-                self.types[view.type] = np.zeros(len(machines), bool)
-            self.types[view.type][at] = True
-            for image in view.images:
-                self.images.setdefault(image, []).append(at)
-            for image in view.fetching:
-                self.fetching.setdefault(image, set()).add(at)
-            if view.reserved_capacity:
-                self.reserved.append(at)
-
-    def fetch_s(self, image: str, gb: float) -> Array:
-        """How long the image takes to be on each machine; fetches under way share the rate."""
-        alone = gb / self.fetch_gb_per_s
-        sharing = self.fetch_counts + 1
-        coming = self.fetching.get(image)
-        if coming:
-            sharing[list(coming)] -= 1
-        seconds = alone * sharing
-        there = self.images.get(image)
-        if there:
-            seconds[there] = 0.0
-        return seconds
+from spindleglade.backfill.snapshot import JobView, RunningTask, Snapshot
 
 
 class PlanningState:
-    def __init__(self, snapshot: Snapshot, tau: float, preempt: str) -> None:
+    """What the snapshot says, with what the pass has decided so far. Machines go by their rows."""
+
+    def __init__(self, snapshot: Snapshot) -> None:
         self.plan = Plan()
         self.jobs = snapshot.jobs
-        self.by_id = {job.id: job for job in snapshot.jobs}
+        self.jobs_by_id = {job.id: job for job in snapshot.jobs}
         self.machines = [machine for machine in snapshot.machines if machine.is_usable]
         self.teams = snapshot.teams
         self.team_codes = {name: code for code, name in enumerate(snapshot.teams)}
         self.predictor = snapshot.predictor
         self.now = snapshot.now
         self.prefers_on_demand = snapshot.prefers_on_demand
-        self.tau = tau
-        self.preempt = preempt
         self.columns = MachineColumns(self.machines)
-        # Tasks started in this round, by machine.
+        # Tasks placed in this pass, with their machines.
         self.placed: list[tuple[int, RunningTask]] = []
-        # Every assignment not proven over counts, on closed machines too.
+        # Every attempt that is not known to have ended counts, on machines that are not usable too.
         self.used_cpus: dict[str, float] = {}
         self.used_gpus: dict[str, float] = {}
         for machine in snapshot.machines:
             for team, (cpus, gpus) in machine.used.items():
-                self._use(team, cpus, gpus)
-        # Of the teams' limits, what is kept for their overdue jobs: CPUs and GPUs.
+                self.add_usage(team, cpus, gpus)
+        # CPUs and GPUs of the teams' limits that are kept for their overdue jobs.
         self.reserved_quota: dict[str, tuple[float, float]] = {}
-        self.reserved_job: JobView | None = None
-        self.reserved_task_count = 1
-        # For each machine that is a unit for the head, the room a candidate may take without taking the unit.
-        self.spare: dict[int, tuple[float, float, float]] = {}
-        self.reservation: Reservation | None = None
-        # Units that tasks which passed the head have taken in this round.
-        self.units_taken = 0
-        # Tasks stopped in this round, whatever the views say.
-        self.preempted: set[tuple[str, int]] = set()
-        # What stopping could free on each machine, by the rank it would be for.
-        self.preemptible_capacity: dict[int, Array] = {}
-
-    def _use(self, team: str, cpus: float, gpus: float) -> None:
+
+    def add_usage(self, team: str, cpus: float, gpus: float) -> None:
+        """Adds to what a team uses, or subtracts if negative."""
         self.used_cpus[team] = self.used_cpus.get(team, 0.0) + cpus
         self.used_gpus[team] = self.used_gpus.get(team, 0.0) + gpus
 
-    def _quota_left(self, job: JobView, guarantee: bool) -> int:
-        """How many more tasks of the job keep its team within its limit, or within its guarantee."""
+    def quota_left(self, job: JobView) -> int:
+        """How many more tasks of the job keep its team within its limit."""
         team = self.teams.get(job.team)
         if team is None:
             return 0
-        cpus, gpus = (team.cpus, team.gpus) if guarantee else (team.cpus_max, team.gpus_max)
-        if not guarantee and not job.is_overdue and job.team in self.reserved_quota:
-            cpus, gpus = cpus - self.reserved_quota[job.team][0], gpus - self.reserved_quota[job.team][1]
+        cpus, gpus = team.cpus_max, team.gpus_max
+        if not job.is_overdue and job.team in self.reserved_quota:
+            reserved_cpus, reserved_gpus = self.reserved_quota[job.team]
+            cpus, gpus = cpus - reserved_cpus, gpus - reserved_gpus
+        return self._count_within(job, cpus, gpus)
+
+    def guarantee_left(self, job: JobView) -> int:
+        """How many more tasks of the job keep its team within its guarantee."""
+        team = self.teams.get(job.team)
+        return 0 if team is None else self._count_within(job, team.cpus, team.gpus)
+
+    def _count_within(self, job: JobView, cpus: float, gpus: float) -> int:
         return job.count_fitting(
             cpus - self.used_cpus.get(job.team, 0.0), gpus - self.used_gpus.get(job.team, 0.0)
         )
 
-    def _is_within(self, job: JobView, guarantee: bool) -> bool:
-        return self._quota_left(job, guarantee) > 0
+    def is_within_limit(self, job: JobView) -> bool:
+        """Whether one more task of the job keeps its team within its limit."""
+        return self.quota_left(job) > 0
+
+    def is_within_guarantee(self, job: JobView) -> bool:
+        """Whether one more task of the job keeps its team within its guarantee."""
+        return self.guarantee_left(job) > 0
 
-    def _eligible_machines(self, job: JobView) -> Mask:
+    def eligible_machines(self, job: JobView) -> Mask:
+        """The machines that tasks of the job may be placed on, whether they fit or not."""
         columns = self.columns
         mask = np.ones(len(self.machines), bool)
         if job.types is not None:
@@ -122,43 +81,51 @@
         if not job.spot:
             mask &= ~columns.spot
         if job.one_zone or job.spread:
-            for zone, here in columns.zones.items():
-                elsewhere = any(count and other != zone for other, count in job.tasks_by_zone.items())
-                crowded = job.tasks_by_zone.get(zone, 0) + 1 > (job.task_count + 1) // 2
-                if (job.one_zone and elsewhere) or (job.spread and crowded):
-                    mask &= ~here
+            for zone, machines in columns.zones.items():
+                if not self._is_zone_eligible(job, zone):
+                    mask &= ~machines
         for name in job.avoided_machines:
-            if name in columns.index:
-                mask[columns.index[name]] = False
+            if name in columns.rows:
+                mask[columns.rows[name]] = False
         return mask
 
-    def _unreserved_capacity(self, job: JobView | None) -> Array:
-        """What is free on each machine, less the room held there for jobs other than this one."""
+    def _is_zone_eligible(self, job: JobView, zone: str) -> bool:
+        """Whether a task more in this zone keeps the job in one zone, or spread over several."""
+        in_other_zones = any(count and other != zone for other, count in job.tasks_by_zone.items())
+        over_half = job.tasks_by_zone.get(zone, 0) + 1 > (job.task_count + 1) // 2
+        return not ((job.one_zone and in_other_zones) or (job.spread and over_half))
+
+    def unreserved_capacity(self, job: JobView | None) -> Array:
+        """What is free on each machine, without the capacity reserved for jobs other than this one."""
         columns = self.columns
         if not columns.reserved:
             return columns.free
         free = columns.free.copy()
-        for at in columns.reserved:
-            for beneficiary, count in self.machines[at].reserved_capacity.items():
-                other = self.by_id.get(beneficiary) if job is None or beneficiary != job.id else None
+        for row in columns.reserved:
+            for beneficiary, count in self.machines[row].reserved_capacity.items():
+                other = self.jobs_by_id.get(beneficiary) if job is None or beneficiary != job.id else None
                 if other is not None and count > 0:
-                    free[at] -= np.multiply(other.demand, count)
+                    free[row] -= np.multiply(other.demand, count)
         return free
 
-    def _has_place(self, job: JobView) -> bool:
-        """Whether a task of the job fits a machine that is there, were it empty."""
-        machines = (self.machines[at] for at in np.nonzero(self._eligible_machines(job))[0])
+    def has_eligible_machine(self, job: JobView) -> bool:
+        """Whether a task of the job fits an eligible machine, were it empty."""
+        machines = (self.machines[row] for row in np.nonzero(self.eligible_machines(job))[0])
         return any(job.count_fitting(machine.cpus, machine.gpus, machine.memory) for machine in machines)
 
-    def _fits(self, job: JobView) -> Counts:
-        """How many tasks of the job each machine has room for."""
-        fits = job.count_fitting_each(self._unreserved_capacity(job))
-        return np.where(self._eligible_machines(job), fits, 0.0).astype(np.int64)
-
-    def _order(self, job: JobView, fits: Counts) -> Counts:
-        """Where a task runs soonest; among those, the kind of machine preferred here, and the fullest first,
-        so that others stay whole or idle."""
-        able = np.nonzero(fits)[0]
-        fetch = self.columns.fetch_s(job.image, job.image_gb)
-        dear = self.columns.spot == self.prefers_on_demand
-        return able[np.lexsort((self.columns.free[able, 0], dear[able], fetch[able]))]
+    def count_fitting(self, job: JobView) -> Counts:
+        """How many tasks of the job fit each machine now."""
+        counts = job.count_fitting_each(self.unreserved_capacity(job))
+        return np.where(self.eligible_machines(job), counts, 0.0).astype(np.int64)
+
+    def placement_order(self, job: JobView, fitting: Counts) -> Counts:
+        """The machines that fit a task, in the order in which they are used: where it runs soonest; among
+        those, the preferred kind of machine; and then the fullest, so that others stay empty."""
+        rows = np.nonzero(fitting)[0]
+        fetch_s = self.columns.fetch_s(job.image, job.image_gb)
+        not_preferred = self.columns.spot == self.prefers_on_demand
+        return rows[np.lexsort((self.columns.free[rows, 0], not_preferred[rows], fetch_s[rows]))]
+
+    def free_cpus(self) -> float:
+        """CPUs of usable machines that nothing uses."""
+        return float(np.maximum(self.columns.free[:, 0], 0.0).sum())
--- a/spindleglade/backfill/test_planner.py
+++ b/spindleglade/backfill/test_planner.py
@@ -8,7 +8,10 @@
 from hypothesis import strategies as st
 
 from spindleglade.backfill.distributions import Bins, Predictor
-from spindleglade.backfill.planner import Planner, _PlanningPass
+from spindleglade.backfill.planner import Planner, run_pass
+from spindleglade.backfill.planning_state import PlanningState
+from spindleglade.backfill.preemption import PreemptionMode, PreemptionPolicy
+from spindleglade.backfill.reservation import Reservation
 from spindleglade.backfill.snapshot import JobView, MachineView, RunningTask, Snapshot
 from spindleglade.runtime.clock import seconds
 from spindleglade.settings import Team
@@ -398,11 +401,12 @@
     assert result(True, rank=1) == (8, [12]) and result(True, team="t") == (8, [12])
 
 
-class EveryMachine(_PlanningPass):
-    """The plain form: looks closely at each machine where anything may be stopped."""
+class ExhaustivePreemptionPolicy(PreemptionPolicy):
+    """The plain form: examines every machine where anything may be preempted."""
 
-    def _worth_looking(self, job):
-        return [at for at in self.candidate_machines if self._eligible_machines(job)[at]]
+    def _promising_machines(self, job):
+        eligible = self._state.eligible_machines(job)
+        return [row for row in self.candidate_machines if eligible[row]]
 
 
 @given(
@@ -451,8 +455,11 @@
         ]
         return Snapshot(jobs, views(), TEAMS, predictor, NOW)
 
-    plain = EveryMachine(snapshot(), 0.05, preempt).run()
-    faster = _PlanningPass(snapshot(), 0.05, preempt).run()
+    def result(policy):
+        state = PlanningState(snapshot())
+        return run_pass(state, Reservation(state, 0.05), policy(state, PreemptionMode(preempt)))
+
+    plain, faster = result(ExhaustivePreemptionPolicy), result(PreemptionPolicy)
     assert faster.preemptions == plain.preemptions and faster.reserved_capacity == plain.reserved_capacity
 
 
--- a/spindleglade/backfill/test_probability.py
+++ b/spindleglade/backfill/test_probability.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from spindleglade.backfill.probability import Reservation, release_probabilities
+from spindleglade.backfill.probability import DelayModel, release_probabilities
 
 
 @st.composite
@@ -27,7 +27,7 @@
     made = np.zeros((2, len(rows), width))
     for row, (_, (times, weights)) in enumerate(rows):
         made[0, row, : len(times)], made[1, row, : len(weights)] = times, weights
-    return Reservation(made[0], made[1], np.array([unit for unit, _ in rows]), lacks)
+    return DelayModel(made[0], made[1], np.array([unit for unit, _ in rows]), lacks)
 
 
 def outcomes(parts_of_units):
