--- a/tests/production_names.py
+++ b/tests/production_names.py
@@ -12,8 +12,10 @@
 # Modules and names of the present code, and what production calls them.
 MODULES = {
     "controller.controller": "app",
+    "http.client": "web",
+    "http.concurrency": "web",
     "http.connection_budget": "sockets",
-    "http.web": "web",
+    "http.errors": "web",
     "leadership.peer_messages": "leadership.links",
     "leadership.peer_network": "leadership.links",
 }
