--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -17,6 +17,7 @@
 from spindleglade.fleet.autoscaler import Autoscaler
 from spindleglade.fleet.client import CloudClient
 from spindleglade.fleet.machine_types import MachineTypeCatalog
+from spindleglade.fleet.parameters import AutoscalerContext, MachineSupply, WorkerConnections
 from spindleglade.http.concurrency import ConcurrencyLimiter
 from spindleglade.leadership.term import Term
 from spindleglade.runtime.background import run_in_background
@@ -216,20 +217,26 @@
             self._cancellation_freshness,
         )
         self._autoscaler = Autoscaler(
-            cluster,
-            self._cloud,
-            self._clock,
-            self.term.token,
-            lambda: self._machine_types.types,
-            self._platform.params.zones,
-            self._settings.fleet,
-            own,
-            self._dispatcher.request_status,
-            self._machines.max_concurrent // 2,
-            self._is_leadership_proven,
-            self._platform.soonest_start,
+            AutoscalerContext(
+                cluster,
+                self._cloud,
+                self._clock,
+                self.term.token,
+                self._is_leadership_proven,
+                self._settings.fleet,
+                own,
+            ),
+            MachineSupply(
+                lambda: self._machine_types.types,
+                self._platform.params.zones,
+                self._platform.soonest_start,
+            ),
+            WorkerConnections(
+                self._dispatcher.request_status,
+                self._dispatcher.introduce_leader,
+                self._machines.max_concurrent // 2,
+            ),
             self._on_changed,
-            self._dispatcher.introduce_leader,
         )
         self._planning_loop = PlanningLoop(
             cluster,
--- a/spindleglade/fleet/__init__.py
+++ b/spindleglade/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The machines rented from the cloud: types, renting, listing, giving back."""
+"""The machines of the cloud: their types, provisioning, listing and termination."""
--- a/spindleglade/fleet/messages.py
+++ b/spindleglade/fleet/messages.py
@@ -1,9 +1,21 @@
-"""What the cloud and the controllers say to each other, by the published protocol."""
+"""Messages between the controllers and the cloud, by its published protocol."""
+
+from enum import StrEnum
 
 import msgspec
 
 
+class MachineState(StrEnum):
+    """The states of a listed machine that mean something here; the cloud may name others."""
+
+    STARTING = "starting"
+    RUNNING = "running"
+    FAILED = "failed"
+
+
 class MachineType(msgspec.Struct, frozen=True):
+    """A machine type: what it has, what it costs, how long it boots, and where there are any."""
+
     name: str
     cpus: float = msgspec.field(name="vcpus")
     memory_gb: float = msgspec.field(name="mem_gb")
@@ -17,10 +29,14 @@
 
 
 class MachineTypeList(msgspec.Struct, frozen=True):
+    """All machine types."""
+
     types: list[MachineType] = msgspec.field(name="frames")
 
 
 class ProvisionRequest(msgspec.Struct, frozen=True):
+    """A request for machines of one machine pool. Sent again with its id, it brings the same machines."""
+
     request_id: str = msgspec.field(name="ask")
     type: str = msgspec.field(name="frame")
     zone: str = msgspec.field(name="glade")
@@ -29,23 +45,32 @@
 
 
 class ProvisionResponse(msgspec.Struct, frozen=True):
+    """The names of the machines provisioned: as many as were requested, or fewer."""
+
     machines: list[str] = msgspec.field(name="spindles")
 
 
 class TerminateRequest(msgspec.Struct, frozen=True):
+    """The names of the machines to be terminated."""
+
     machines: list[str] = msgspec.field(name="spindles")
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
+    """A machine in the machine list."""
+
     name: str = msgspec.field(name="ref")
     address: str = msgspec.field(name="addr")
     type: str = msgspec.field(name="frame")
     zone: str = msgspec.field(name="glade")
     spot: bool = msgspec.field(name="windfall")
+    # A `MachineState`, or one that this version does not know.
     state: str = msgspec.field(name="stage")
     age_s: float = msgspec.field(name="held_s")
 
 
 class MachinePage(msgspec.Struct, frozen=True):
+    """One page of the machine list."""
+
     machines: list[ListedMachine] = msgspec.field(name="spindles")
     more: bool = msgspec.field(name="has_next", default=False)
--- /dev/null
+++ b/spindleglade/fleet/provisioning_requests.py
@@ -0,0 +1,102 @@
+"""Sends provisioning requests to the cloud until they are answered or given up."""
+
+import logging
+from collections.abc import Callable
+
+from spindleglade.fleet.client import (
+    CloudRequestRejectedError,
+    CloudTimeoutError,
+    LeadershipUnprovenError,
+)
+from spindleglade.fleet.demand import CapacityBackoff, MachineOffer, MachinePool
+from spindleglade.fleet.messages import ProvisionRequest
+from spindleglade.fleet.parameters import AutoscalerContext
+from spindleglade.fleet.state import BootingMachine, FleetState, PendingRequest
+from spindleglade.runtime.background import run_in_background
+
+log = logging.getLogger("spindleglade.fleet")
+
+# Attempts at one request that the cloud leaves unanswered.
+MAX_PROVISION_ATTEMPTS = 5
+
+
+class ProvisioningRequests:
+    """Requests machines, and keeps the machines that the cloud provisioned as booting."""
+
+    def __init__(
+        self,
+        context: AutoscalerContext,
+        state: FleetState,
+        backoff: CapacityBackoff,
+        on_finished: Callable[[], None],
+    ) -> None:
+        self._cloud = context.cloud
+        self._clock = context.clock
+        self._token = context.token
+        self._is_leadership_proven = context.is_leadership_proven
+        self._state = state
+        self._capacity_backoff = backoff
+        self._on_finished = on_finished
+        # Requests made so far, which number their ids.
+        self._request_count = 0
+
+    def send(self, offer: MachineOffer, count: int) -> None:
+        """Begins to provision so many machines of an offer."""
+        self._request_count += 1
+        # A token is never given twice, so neither is the id, by whichever controller.
+        request = ProvisionRequest(
+            f"r-{self._token}-{self._request_count}", offer.type.name, offer.zone, offer.spot, count
+        )
+        pending = PendingRequest(request, offer.type)
+        self._state.pending_requests[request.request_id] = pending
+        run_in_background(self._provision(pending), "provisioning request")
+
+    async def _provision(self, pending: PendingRequest) -> None:
+        try:
+            for _ in range(MAX_PROVISION_ATTEMPTS):
+                # Sent again with the same id, the request brings the same machines.
+                if await self._try_provision(pending):
+                    return
+        finally:
+            del self._state.pending_requests[pending.request.request_id]
+            if not self._state.stopped:
+                self._on_finished()
+
+    async def _try_provision(self, pending: PendingRequest) -> bool:
+        """One attempt; whether it was the last one."""
+        request = pending.request
+        try:
+            names = await self._cloud.provision(request, self._is_leadership_proven)
+        except LeadershipUnprovenError:
+            # Machines that an earlier attempt may have brought are adopted from the machine list.
+            log.info("provisioning given up request=%s reason=leadership unproven", request.request_id)
+            return True
+        except CloudRequestRejectedError as error:
+            pool = _pool_of(request)
+            log.info("provisioning rejected type=%s zone=%s spot=%s reason=%s", *pool, error)
+            self._capacity_backoff.on_rejected(pool, self._clock.now())
+            return True
+        except CloudTimeoutError as error:
+            log.info("provisioning unanswered request=%s reason=%s", request.request_id, error)
+            return self._state.stopped
+        self._on_provisioned(pending, names)
+        return True
+
+    def _on_provisioned(self, pending: PendingRequest, names: list[str]) -> None:
+        request, pool, now = pending.request, _pool_of(pending.request), self._clock.now()
+        for name in names:
+            self._state.booting[name] = BootingMachine(pending.machine_type, request.zone, request.spot, now)
+        if len(names) < request.count:
+            self._capacity_backoff.on_rejected(pool, now)
+        else:
+            self._capacity_backoff.on_provisioned(pool)
+        log.info(
+            "machines provisioned type=%s zone=%s spot=%s requested=%d machines=%s",
+            *pool,
+            request.count,
+            ",".join(names),
+        )
+
+
+def _pool_of(request: ProvisionRequest) -> MachinePool:
+    return (request.type, request.zone, request.spot)
--- /dev/null
+++ b/spindleglade/fleet/scale_in.py
@@ -0,0 +1,128 @@
+"""Scales in: decides which machines to terminate, because they are idle, lost, or of no use."""
+
+import math
+from collections.abc import Iterator
+from dataclasses import dataclass
+from datetime import timedelta
+
+from spindleglade.fleet.headroom import Headroom
+from spindleglade.fleet.parameters import AutoscalerContext, SilenceLimits
+from spindleglade.fleet.state import FleetState
+from spindleglade.fleet.termination import MachineTermination, TerminationReason
+from spindleglade.fleet.zone_partitions import ZonePartitionDetector
+from spindleglade.runtime.clock import seconds
+from spindleglade.workers.machines import Machine
+
+# A machine that sends heartbeats, but that nothing reaches, is given so many times the limit of a silent one.
+UNREACHABLE_TO_SILENCE_LIMIT = 2
+# A start that was never acknowledged is waited for this share of a lease.
+UNACKNOWLEDGED_START_SHARE_OF_LEASE = 1 / 2
+
+
+@dataclass(slots=True)
+class _IdleLimits:
+    """How long machines may be idle in this pass, and how many CPUs may be terminated as idle."""
+
+    spot: timedelta
+    on_demand: timedelta
+    surplus_cpus: float
+
+    def of(self, machine: Machine) -> timedelta:
+        return self.spot if machine.spot else self.on_demand
+
+
+class ScaleIn:
+    """Terminates idle, silent, unreachable and quarantined machines, and those that do not boot."""
+
+    def __init__(
+        self,
+        context: AutoscalerContext,
+        limits: SilenceLimits,
+        state: FleetState,
+        headroom: Headroom,
+        termination: MachineTermination,
+    ) -> None:
+        self._cluster = context.cluster
+        self._settings = context.settings
+        self._limits = limits
+        self._state = state
+        self._headroom = headroom
+        self._termination = termination
+        self._zone_partitions = ZonePartitionDetector(context.cluster, state, limits.probe)
+
+    def run(self, now: timedelta) -> None:
+        """Terminates the machines for which there is a reason now."""
+        idle_limits = self._idle_limits()
+        reasons: dict[str, TerminationReason] = {}
+        with self._cluster.lock:
+            self._zone_partitions.observe(now)
+            for machine in self._cluster.machines.values():
+                if machine.name in self._state.terminating:
+                    continue
+                reason = self._loss_reason(machine, now)
+                if reason is None and self._take_if_idle(machine, idle_limits, now):
+                    reason = TerminationReason.IDLE
+                if reason is not None:
+                    machine.terminating = True
+                    reasons[machine.name] = reason
+        for name in self._boot_timeouts(now):
+            reasons[name] = TerminationReason.BOOT_TIMEOUT
+        if reasons:
+            self._termination.terminate(reasons)
+
+    def _idle_limits(self) -> _IdleLimits:
+        settings = self._settings
+        if not self._headroom.is_needed:
+            return _IdleLimits(seconds(settings.idle_s), seconds(settings.idle_ordinary_s), math.inf)
+        surplus_cpus = -self._headroom.deficit_cpus()
+        # While there is work, an idle machine also keeps its cache of images.
+        limit = seconds(settings.idle_ready_s if self._headroom.has_open_jobs() else settings.idle_s)
+        return _IdleLimits(limit, limit, surplus_cpus)
+
+    def _loss_reason(self, machine: Machine, now: timedelta) -> TerminationReason | None:
+        """Why the machine is lost or of no use, if it is."""
+        if self._cluster.is_silent(machine, now, self._limits.lease):
+            return TerminationReason.SILENT
+        if self._is_silent_and_unanswered(machine, now):
+            return TerminationReason.SILENT_AND_UNANSWERED
+        if self._is_unreachable_for_long(machine, now):
+            return TerminationReason.UNREACHABLE
+        if machine.quarantined and not machine.placed:
+            return TerminationReason.QUARANTINED
+        if self._awaits_start_of_cancelled_job(machine, now):
+            return TerminationReason.UNACKNOWLEDGED_START
+        return None
+
+    def _is_silent_and_unanswered(self, machine: Machine, now: timedelta) -> bool:
+        """In a partitioned zone the machine is not the one to blame."""
+        return (
+            machine.unanswered_since is not None
+            and machine.zone not in self._state.partitioned_zones
+            and self._cluster.is_silent(machine, now, self._limits.unanswered)
+        )
+
+    def _is_unreachable_for_long(self, machine: Machine, now: timedelta) -> bool:
+        limit = self._limits.lease * UNREACHABLE_TO_SILENCE_LIMIT
+        return machine.unreachable_since is not None and now - machine.unreachable_since > limit
+
+    def _awaits_start_of_cancelled_job(self, machine: Machine, now: timedelta) -> bool:
+        """Whether a start of a cancelled job was sent long ago and may still arrive there."""
+        limit = self._cluster.policy.lease * UNACKNOWLEDGED_START_SHARE_OF_LEASE
+        return any(now - sent > limit for sent in machine.unacknowledged_starts_of_cancelled_jobs())
+
+    def _take_if_idle(self, machine: Machine, limits: _IdleLimits, now: timedelta) -> bool:
+        """Whether the machine has been idle for too long; if so it is taken off the surplus."""
+        if machine.idle_since is None or machine.placed or now - machine.idle_since <= limits.of(machine):
+            return False
+        machine_type = self._cluster.machine_types.get(machine.type)
+        cpus = 0 if machine_type is None else machine_type.cpus
+        if cpus > limits.surplus_cpus:
+            return False
+        limits.surplus_cpus -= cpus
+        return True
+
+    def _boot_timeouts(self, now: timedelta) -> Iterator[str]:
+        """Names of the machines that have been booting for too long."""
+        for name, boot in self._state.booting.items():
+            if now - boot.since > seconds(boot.type.boot_s * self._settings.boot_patience):
+                yield name
--- /dev/null
+++ b/spindleglade/fleet/termination.py
@@ -0,0 +1,108 @@
+"""Terminates machines: sends the requests to the cloud until it has confirmed them.
+
+A confirmed termination is the one proof that does not need the worker: once the cloud has answered 200, the
+machine and all on it are gone. So silent machines are terminated before their tasks are placed anew.
+"""
+
+import logging
+from collections.abc import Callable
+from enum import StrEnum
+
+from spindleglade.fleet.client import (
+    MAX_TERMINATED_PER_REQUEST,
+    CloudRequestRejectedError,
+    CloudTimeoutError,
+    LeadershipUnprovenError,
+)
+from spindleglade.fleet.demand import CapacityBackoff, MachinePool
+from spindleglade.fleet.parameters import AutoscalerContext
+from spindleglade.fleet.state import FleetState
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import seconds, sleep
+
+log = logging.getLogger("spindleglade.fleet")
+
+# Between two attempts at the same termination request.
+TERMINATE_RETRY_DELAY = seconds(0.7)
+
+
+class TerminationReason(StrEnum):
+    """Why a machine is terminated."""
+
+    IDLE = "idle"
+    SILENT = "silent"
+    SILENT_AND_UNANSWERED = "silent and does not answer"
+    UNREACHABLE = "does not hear"
+    QUARANTINED = "faulty"
+    # A start of a cancelled job may still arrive there, and nothing else can take it back.
+    UNACKNOWLEDGED_START = "unsure start of an aborted job"
+    BOOT_TIMEOUT = "boots too long"
+    FAILED = "failed"
+
+
+class MachineTermination:
+    """Sends termination requests and tells the cluster state which machines are gone."""
+
+    def __init__(
+        self,
+        context: AutoscalerContext,
+        state: FleetState,
+        backoff: CapacityBackoff,
+        on_changed: Callable[[], None],
+    ) -> None:
+        self._cluster = context.cluster
+        self._cloud = context.cloud
+        self._clock = context.clock
+        self._is_leadership_proven = context.is_leadership_proven
+        self._state = state
+        self._capacity_backoff = backoff
+        self._on_changed = on_changed
+
+    def terminate(self, reasons: dict[str, TerminationReason]) -> None:
+        """Begins to terminate the machines named, in this order."""
+        for name in reasons:
+            self._state.terminating[name] = self._pool_of(name)
+            self._state.booting.pop(name, None)
+        names = list(reasons)
+        for start in range(0, len(names), MAX_TERMINATED_PER_REQUEST):
+            batch = {name: reasons[name] for name in names[start : start + MAX_TERMINATED_PER_REQUEST]}
+            run_in_background(self._terminate_batch(batch), "termination request")
+
+    def _pool_of(self, name: str) -> MachinePool | None:
+        with self._cluster.lock:
+            machine = self._cluster.machines.get(name)
+        if machine is not None:
+            return (machine.type, machine.zone, machine.spot)
+        boot = self._state.booting.get(name)
+        return None if boot is None else boot.pool
+
+    async def _terminate_batch(self, reasons: dict[str, TerminationReason]) -> None:
+        while not self._state.stopped:
+            if await self._try_terminate(list(reasons)):
+                self._on_terminated(reasons)
+                return
+            await sleep(self._clock, TERMINATE_RETRY_DELAY)
+
+    async def _try_terminate(self, names: list[str]) -> bool:
+        """One attempt; whether the cloud has confirmed it."""
+        try:
+            # Each attempt needs the proof of leadership: a leader that was suspended between two of them may
+            # have a successor that uses the machines.
+            await self._cloud.terminate(names, self._is_leadership_proven)
+        except (CloudRequestRejectedError, CloudTimeoutError, LeadershipUnprovenError) as error:
+            log.info("termination delayed machines=%s reason=%s", ",".join(names), error)
+            return False
+        except Exception:
+            # Without a retry the machines would be neither used nor terminated for as long as this
+            # controller leads.
+            log.exception("termination failed machines=%s", ",".join(names))
+            return False
+        return True
+
+    def _on_terminated(self, reasons: dict[str, TerminationReason]) -> None:
+        for name, reason in reasons.items():
+            self._cluster.on_machine_terminated(name, reason)
+            pool = self._state.terminating.pop(name, None)
+            if pool is not None:
+                self._capacity_backoff.on_terminated(pool, self._clock.now())
+        self._on_changed()
