--- a/spindleglade/fleet/autoscaler.py
+++ b/spindleglade/fleet/autoscaler.py
@@ -4,7 +4,7 @@
 from functools import partial
 
 from spindleglade.backfill.plan import Plan
-from spindleglade.fleet.demand import CapacityBackoff
+from spindleglade.fleet.capacity_backoff import CapacityBackoff
 from spindleglade.fleet.headroom import Headroom
 from spindleglade.fleet.health_probes import HealthProbes
 from spindleglade.fleet.machine_list import MachineListReader
@@ -81,7 +81,7 @@
     @property
     def summary(self) -> str:
         """What is on its way and what keeps machines from being provisioned, for the log."""
-        backed_off = self._capacity_backoff.paused_count(self._clock.now())
+        backed_off = self._capacity_backoff.count_backed_off(self._clock.now())
         return (
             f"machines_booting={len(self._state.booting)} "
             f"requests_pending={len(self._state.pending_requests)} "
--- a/spindleglade/fleet/provisioning_requests.py
+++ b/spindleglade/fleet/provisioning_requests.py
@@ -3,12 +3,13 @@
 import logging
 from collections.abc import Callable
 
+from spindleglade.fleet.capacity_backoff import CapacityBackoff
 from spindleglade.fleet.client import (
     CloudRequestRejectedError,
     CloudTimeoutError,
     LeadershipUnprovenError,
 )
-from spindleglade.fleet.demand import CapacityBackoff, MachineOffer, MachinePool
+from spindleglade.fleet.machine_pool import MachineOffer
 from spindleglade.fleet.messages import ProvisionRequest
 from spindleglade.fleet.parameters import AutoscalerContext
 from spindleglade.fleet.state import BootingMachine, FleetState, PendingRequest
@@ -72,9 +73,8 @@
             log.info("provisioning given up request=%s reason=leadership unproven", request.request_id)
             return True
         except CloudRequestRejectedError as error:
-            pool = _pool_of(request)
-            log.info("provisioning rejected type=%s zone=%s spot=%s reason=%s", *pool, error)
-            self._capacity_backoff.on_rejected(pool, self._clock.now())
+            log.info("provisioning rejected type=%s zone=%s spot=%s reason=%s", *pending.pool, error)
+            self._capacity_backoff.on_rejected(pending.pool, self._clock.now())
             return True
         except CloudTimeoutError as error:
             log.info("provisioning unanswered request=%s reason=%s", request.request_id, error)
@@ -83,7 +83,7 @@
         return True
 
     def _on_provisioned(self, pending: PendingRequest, names: list[str]) -> None:
-        request, pool, now = pending.request, _pool_of(pending.request), self._clock.now()
+        request, pool, now = pending.request, pending.pool, self._clock.now()
         for name in names:
             self._state.booting[name] = BootingMachine(pending.machine_type, request.zone, request.spot, now)
         if len(names) < request.count:
@@ -96,7 +96,3 @@
             request.count,
             ",".join(names),
         )
-
-
-def _pool_of(request: ProvisionRequest) -> MachinePool:
-    return (request.type, request.zone, request.spot)
--- a/spindleglade/fleet/scale_out.py
+++ b/spindleglade/fleet/scale_out.py
@@ -6,25 +6,25 @@
 from datetime import timedelta
 
 from spindleglade.backfill.plan import ExpectedRelease, Plan, UnplacedDemand
+from spindleglade.fleet.capacity import CapacityPool, FreeCapacity, add_soon_free_capacity
+from spindleglade.fleet.capacity_backoff import CapacityBackoff
 from spindleglade.fleet.client import MAX_PROVISIONED_PER_REQUEST
-from spindleglade.fleet.demand import (
-    CapacityBackoff,
-    CapacityPool,
-    FreeCapacity,
-    MachineOffer,
-    add_soon_free_capacity,
-    choose_provisioning,
-)
 from spindleglade.fleet.headroom import Headroom
+from spindleglade.fleet.machine_pool import MachineOffer
 from spindleglade.fleet.messages import MachineType
 from spindleglade.fleet.on_demand import OnDemandPolicy
 from spindleglade.fleet.parameters import AutoscalerContext, MachineSupply
+from spindleglade.fleet.provisioning import OnDemandUse, choose_provisioning
 from spindleglade.fleet.provisioning_requests import ProvisioningRequests
 from spindleglade.fleet.state import FleetState
 
 # Provisioning requests under way at once.
 MAX_PENDING_REQUESTS = 4
 
+# On-demand machines come first where machines must stand ready; else only marked demand gets them.
+ON_DEMAND_FOR_HEADROOM = OnDemandUse(is_preferred=True)
+ON_DEMAND_IF_MARKED = OnDemandUse(jobs=frozenset())
+
 
 class ScaleOut:
     """Provisions machines for the demand that the latest plan could not place, or else for headroom."""
@@ -83,8 +83,7 @@
             self._cluster.teams,
             used_cpus,
             MAX_PROVISIONED_PER_REQUEST,
-            steady=needs_headroom,
-            overdue=None if needs_headroom else frozenset(),
+            ON_DEMAND_FOR_HEADROOM if needs_headroom else ON_DEMAND_IF_MARKED,
         )
 
     def _choose_for_headroom(self, now: timedelta) -> list[tuple[MachineOffer, int]]:
--- a/spindleglade/fleet/state.py
+++ b/spindleglade/fleet/state.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from spindleglade.fleet.demand import MachinePool
+from spindleglade.fleet.machine_pool import MachinePool
 from spindleglade.fleet.messages import MachineType, ProvisionRequest
 
 
@@ -22,7 +22,7 @@
     @property
     def pool(self) -> MachinePool:
         """The machine pool it belongs to."""
-        return (self.type.name, self.zone, self.spot)
+        return MachinePool(self.type.name, self.zone, self.spot)
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,6 +32,11 @@
     request: ProvisionRequest
     machine_type: MachineType
 
+    @property
+    def pool(self) -> MachinePool:
+        """The machine pool that is requested."""
+        return MachinePool(self.request.type, self.request.zone, self.request.spot)
+
 
 @dataclass(slots=True)
 class FleetState:
--- a/spindleglade/fleet/termination.py
+++ b/spindleglade/fleet/termination.py
@@ -8,13 +8,14 @@
 from collections.abc import Callable
 from enum import StrEnum
 
+from spindleglade.fleet.capacity_backoff import CapacityBackoff
 from spindleglade.fleet.client import (
     MAX_TERMINATED_PER_REQUEST,
     CloudRequestRejectedError,
     CloudTimeoutError,
     LeadershipUnprovenError,
 )
-from spindleglade.fleet.demand import CapacityBackoff, MachinePool
+from spindleglade.fleet.machine_pool import MachinePool
 from spindleglade.fleet.parameters import AutoscalerContext
 from spindleglade.fleet.state import FleetState
 from spindleglade.runtime.background import run_in_background
@@ -72,7 +73,7 @@
         with self._cluster.lock:
             machine = self._cluster.machines.get(name)
         if machine is not None:
-            return (machine.type, machine.zone, machine.spot)
+            return MachinePool(machine.type, machine.zone, machine.spot)
         boot = self._state.booting.get(name)
         return None if boot is None else boot.pool
 
--- /dev/null
+++ b/spindleglade/fleet/test_provisioning.py
@@ -0,0 +1,91 @@
+"""Which machines are provisioned for unplaced demand."""
+
+import math
+
+from spindleglade.backfill.plan import UnplacedDemand
+from spindleglade.backfill.test_planner import job
+from spindleglade.fleet.capacity import CapacityPool, FreeCapacity
+from spindleglade.fleet.machine_pool import MachineOffer
+from spindleglade.fleet.messages import MachineType
+from spindleglade.fleet.provisioning import ON_DEMAND_FOR_ALL, OnDemandUse, choose_provisioning
+from spindleglade.settings import Team
+
+SMALL = MachineType("s", 8.0, 32.0, 1.0, 0.3, 20.0, 50.0, 1.0, 0.0, ["a"])
+LARGE = MachineType("l", 32.0, 128.0, 4.2, 1.3, 30.0, 50.0, 1.0, 0.0, ["a"])
+OFFERS = [MachineOffer(machine_type, "a", spot) for machine_type in (SMALL, LARGE) for spot in (True, False)]
+ON_DEMAND_OFFERS = [offer for offer in OFFERS if not offer.spot]
+TEAMS = {"t": Team("t", 8.0, 64.0), "guest": Team("guest", 0.0, math.inf, 0.0, math.inf)}
+# Only marked demand may use on-demand machines.
+MARKED_ONLY = OnDemandUse(jobs=frozenset())
+
+
+def provision(unplaced, booting=(), offers=OFFERS, used=0.0, on_demand=ON_DEMAND_FOR_ALL):
+    chosen = choose_provisioning(
+        unplaced, CapacityPool(list(booting)), offers, TEAMS, {"t": used}, 50, on_demand
+    )
+    return [(offer.type.name, offer.spot, count) for offer, count in chosen]
+
+
+def test_the_cheapest_pool_that_fits_is_provisioned():
+    assert provision([UnplacedDemand(job("job-1", 4.0), 4, False)]) == [("s", True, 2)]
+    assert provision([UnplacedDemand(job("job-1", 16.0), 1, False)]) == [("l", True, 1)]
+
+
+def test_booting_machines_are_taken_off_the_demand():
+    booting = FreeCapacity("s", "a", True, 8.0, 0.0, 32.0)
+    assert provision([UnplacedDemand(job("job-1", 4.0), 4, False)], [booting]) == [("s", True, 1)]
+
+
+def test_work_that_may_not_use_spot_machines_gets_none():
+    assert provision([UnplacedDemand(job("job-1", 4.0, spot=False), 1, False)]) == [("s", False, 1)]
+    spot = FreeCapacity("s", "a", True, 8.0, 0.0, 32.0)
+    assert provision([UnplacedDemand(job("job-1", 4.0, spot=False), 1, False)], [spot]) == [("s", False, 1)]
+
+
+def test_nothing_is_provisioned_beyond_a_teams_limit():
+    assert provision([UnplacedDemand(job("job-1", 8.0), 20, False)], used=48.0) == [("s", True, 2)]
+
+
+def test_for_a_team_without_a_limit_all_demand_counts():
+    unplaced = [UnplacedDemand(job("job-1", 8.0, team="guest", rank=1), 20, False)]
+    assert provision(unplaced) == [("s", True, 20)]
+
+
+def test_where_on_demand_is_preferred_those_machines_come_first():
+    unplaced = [UnplacedDemand(job("job-1", 4.0), 1, False)]
+    assert provision(unplaced, on_demand=OnDemandUse(is_preferred=True)) == [("s", False, 1)]
+
+
+def test_like_demand_is_provisioned_for_as_one():
+    """Hundreds of like jobs cost one look at the machines, and get what they would get one by one."""
+    jobs = [UnplacedDemand(job(f"job-{number}", 4.0), 1, False) for number in range(12)]
+    together = provision([UnplacedDemand(job("job-0", 4.0), 12, False)])
+    assert provision(jobs) == together == [("s", True, 6)]
+
+
+def test_on_demand_machines_are_provisioned_only_for_the_jobs_that_may_use_them():
+    """While spot machines are all in use there is always some demand, which alone justifies none."""
+    unplaced = [UnplacedDemand(job("job-1", 8.0), 1, False), UnplacedDemand(job("job-2", 8.0), 1, False)]
+    only_second = OnDemandUse(jobs=frozenset(["job-2"]))
+    assert provision(unplaced, offers=ON_DEMAND_OFFERS, on_demand=MARKED_ONLY) == []
+    assert provision(unplaced, offers=ON_DEMAND_OFFERS, on_demand=only_second) == [("s", False, 1)]
+    strict = [UnplacedDemand(job("job-1", 8.0, spot=False), 1, False)]
+    assert provision(strict, offers=ON_DEMAND_OFFERS, on_demand=MARKED_ONLY) == [("s", False, 1)]
+
+
+def test_a_partitioned_zone_comes_last():
+    """Its machines were all terminated, so it has the fewest."""
+    offers = [MachineOffer(SMALL, "a", True, 0, zone_partitioned=True), MachineOffer(SMALL, "b", True, 9)]
+    unplaced = [UnplacedDemand(job("job-1", 4.0), 2, False)]
+    (offer, count), *others = choose_provisioning(unplaced, CapacityPool(), offers, TEAMS, {}, 50)
+    assert (offer.zone, count, others) == ("b", 1, [])
+    assert provision(unplaced, offers=offers[:1]) == [("s", True, 1)]
+
+
+def test_only_as_many_on_demand_machines_as_the_first_tasks_of_overdue_jobs_fill():
+    first = UnplacedDemand(job("job-1", 8.0), 2, False, may_use_on_demand=True)
+    rest = UnplacedDemand(job("job-1", 8.0), 6, False)
+    assert provision([first, rest], offers=ON_DEMAND_OFFERS, on_demand=MARKED_ONLY) == [("s", False, 2)]
+    # They are on their way: no more are provisioned in the next pass.
+    coming = [FreeCapacity("s", "a", False, 8.0, 0.0, 32.0)] * 2
+    assert provision([first, rest], coming, offers=ON_DEMAND_OFFERS, on_demand=MARKED_ONLY) == []
