--- a/spindleglade/runtime/background.py
+++ b/spindleglade/runtime/background.py
@@ -1,4 +1,4 @@
-"""Coroutines that run beside the others. One that breaks is logged, and its owner told."""
+"""Coroutines that run beside the others in the reactor's thread."""
 
 import logging
 from collections.abc import Callable, Coroutine
@@ -11,20 +11,35 @@
 
 log = logging.getLogger("spindleglade")
 
+# How long after its failure a coroutine of `run_forever` begins again.
+RESTART_DELAY = timedelta(seconds=1)
+
 
 def run_in_background(
-    work: Coroutine[Any, Any, Any], what: str, broken: Callable[[str], None] | None = None
+    work: Coroutine[Any, Any, Any], name: str, on_failed: Callable[[str], None] | None = None
 ) -> Deferred[Any]:
-    def failed(failure: Any) -> None:
-        log.error("%s broke: %s", what, failure.getTraceback())
-        if broken is not None:
-            broken(f"{what} broke")
+    """Starts a coroutine at once and returns without waiting for its end.
+
+    An exception that it raises is logged with its traceback, and `on_failed` is called with the reason. The
+    result fires with what the coroutine returns, None if it raised. To be called in the reactor's thread.
+    """
+
+    def handle_failure(failure: Any) -> None:
+        log.error("background task failed name=%s reason=%s", name, failure.getTraceback())
+        if on_failed is not None:
+            on_failed(f"{name} failed")
+
+    return ensureDeferred(work).addErrback(handle_failure)
+
+
+def run_forever(clock: Clock, start: Callable[[], Coroutine[Any, Any, Any]], name: str) -> None:
+    """Runs a loop that the controller cannot do without.
 
-    return ensureDeferred(work).addErrback(failed)
+    `start` makes the coroutine. If it raises, that is logged, and it is started again after RESTART_DELAY; if
+    it returns, that is the end. To be called in the reactor's thread.
+    """
 
+    def restart_later(_: str) -> None:
+        clock.later(RESTART_DELAY, run_forever, clock, start, name)
 
-def run_forever(clock: Clock, make: Callable[[], Coroutine[Any, Any, Any]], what: str) -> None:
-    """A loop that the node cannot do without: if it breaks it begins again, a second later."""
-    run_in_background(
-        make(), what, lambda _: clock.later(timedelta(seconds=1), run_forever, clock, make, what)
-    )
+    run_in_background(start(), name, restart_later)
--- a/spindleglade/runtime/decoding.py
+++ b/spindleglade/runtime/decoding.py
@@ -1,4 +1,4 @@
-"""Reading what others send."""
+"""Decoding of messages that others send."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -9,8 +9,12 @@
 
 
 def decode(decoder: Callable[[bytes], T], data: bytes) -> T:
-    """Raises msgspec.DecodeError on anything malformed. Nested too deeply it broke whoever read it."""
+    """What `decoder` makes of the data; raises msgspec.DecodeError on anything malformed.
+
+    That includes data nested too deeply, on which msgspec's decoders raise RecursionError, which no caller
+    expects.
+    """
     try:
         return decoder(data)
-    except RecursionError:
-        raise msgspec.DecodeError("nested too deeply") from None
+    except RecursionError as error:
+        raise msgspec.DecodeError("nested too deeply") from error
--- a/spindleglade/runtime/log_throttle.py
+++ b/spindleglade/runtime/log_throttle.py
@@ -1,4 +1,4 @@
-"""Keeps a log line that could come many times a second to once in a while."""
+"""Limits how often a log line that could come many times a second is written."""
 
 from datetime import timedelta
 
@@ -6,15 +6,16 @@
 
 
 class LogThrottle:
-    """Allows something at most once in `every`."""
+    """Allows something at most once per interval."""
 
-    def __init__(self, clock: Clock, every: timedelta) -> None:
+    def __init__(self, clock: Clock, interval: timedelta) -> None:
         self._clock = clock
-        self._interval = every
+        self._interval = interval
+        # When it was last allowed; None before the first time.
         self._allowed_at: timedelta | None = None
 
     def allows(self) -> bool:
-        """Whether it may be done now; if so, not again for a while."""
+        """Whether the line may be written now; if so, not again before the interval has passed."""
         now = self._clock.now()
         if self._allowed_at is not None and now - self._allowed_at < self._interval:
             return False
--- a/spindleglade/runtime/periodic_task.py
+++ b/spindleglade/runtime/periodic_task.py
@@ -1,8 +1,8 @@
-"""A loop of the leader that survives whatever breaks in one of its passes.
+"""A loop of the leader that survives an error in one of its passes.
 
-The recorder and the fleet's loops used to end for good at their first unexpected error, while the leader that
-they belonged to went on renewing its lease: no start was recorded, or no machine rented, for as long as that
-node led. A loop now logs the error, pauses, and goes on; its health tells the leader when that does not help.
+A loop that ended at an unexpected error while its leader went on renewing the lease would leave that work
+undone for as long as the controller leads. So a loop logs the error, pauses and goes on; whether it has
+stalled tells the leader when that does not help.
 """
 
 import logging
@@ -14,56 +14,59 @@
 
 log = logging.getLogger("spindleglade")
 
-# The pause after a pass that broke, for each that broke in a row, and the longest.
+# The pause after a pass that failed, for each that failed in a row, and the longest.
 FAILURE_PAUSE = seconds(0.5)
 MAX_FAILURE_PAUSE = seconds(5)
-# A loop has stalled if so many of its passes broke in a row, or one has been under way for so long.
+# A loop has stalled if so many of its passes failed in a row, or one has been under way for so long.
 STALLED_AFTER_FAILURES = 6
 MAX_PASS_DURATION = seconds(30)
 
 
 class PeriodicTask:
-    """Calls `one_pass` again and again; between two passes, and with `waits_first` before the first one, it
-    waits for `until_next`."""
+    """Calls `run_pass` again and again in the reactor's thread, one pass at a time.
+
+    Between two passes, and with `waits_first` before the first one, it waits for `wait_for_next`. `name` is
+    for the log.
+    """
 
     def __init__(
         self,
         clock: Clock,
         name: str,
-        one_pass: Callable[[], Awaitable[None]],
-        until_next: Callable[[], Awaitable[None]],
+        run_pass: Callable[[], Awaitable[None]],
+        wait_for_next: Callable[[], Awaitable[None]],
         waits_first: bool = False,
     ) -> None:
         self._clock = clock
         self._name = name
-        self._run_pass = one_pass
-        self._wait_for_next = until_next
+        self._run_pass = run_pass
+        self._wait_for_next = wait_for_next
         self._waits_first = waits_first
         self._stopped = False
         # When the pass under way began.
         self._pass_started_at: timedelta | None = None
-        # Passes that broke since one did not, and the latest error.
+        # Passes that failed since one did not, and the latest error.
         self._failures = 0
         self._error: str | None = None
 
     def start(self) -> None:
-        """Begins the first pass."""
+        """Begins the first pass, or the wait before it; to be called once."""
         run_in_background(self._run(), self._name)
 
     def stop(self) -> None:
-        """No further pass begins."""
+        """Lets no further pass begin; one under way comes to its end."""
         self._stopped = True
 
     @property
     def stall_reason(self) -> str | None:
-        """Why the loop gets nothing done, if so."""
+        """Why the loop gets nothing done; None if it does."""
         if self._failures >= STALLED_AFTER_FAILURES:
-            return f"{self._name} broke {self._failures} times in a row: {self._error}"
-        if (
-            self._pass_started_at is not None
-            and self._clock.now() - self._pass_started_at > MAX_PASS_DURATION
-        ):
-            return f"{self._name} has not come back since {self._clock.now() - self._pass_started_at}"
+            return f"{self._name} failed {self._failures} times in a row: {self._error}"
+        if self._pass_started_at is None:
+            return None
+        duration = self._clock.now() - self._pass_started_at
+        if duration > MAX_PASS_DURATION:
+            return f"{self._name} has been under way for {duration}"
         return None
 
     async def _run(self) -> None:
@@ -85,9 +88,10 @@
                 await self._wait_for_next()
 
     def _on_pass_failed(self, error: Exception) -> None:
+        """Logs the traceback of a new error, and that alone of one that repeats."""
         self._failures += 1
-        known, self._error = self._error, repr(error)
-        if self._failures == 1 or known != self._error:
-            log.exception("loop broke and goes on loop=%s", self._name)
+        previous, self._error = self._error, repr(error)
+        if self._failures == 1 or previous != self._error:
+            log.exception("loop failed and goes on loop=%s", self._name)
         else:
-            log.error("loop broke again loop=%s times=%d", self._name, self._failures)
+            log.error("loop failed again loop=%s failures=%d", self._name, self._failures)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -133,7 +133,7 @@
     owner, name = LOOPS[loop]
     method = getattr(owner, name)
     deployment = SimulatedDeployment(34)
-    deployment.expected_errors = ("loop broke",)
+    deployment.expected_errors = ("loop failed",)
     deployment.run(seconds(5))
     stuck = deployment.nodes[deployment.node_names[deployment.leader()]].leader
 
@@ -154,7 +154,7 @@
     """Each of the three makes way once, then after 60 s, 120 s and 240 s more."""
     monkeypatch.setattr(ClusterState, "snapshot", breaks_always)
     deployment = SimulatedDeployment(35)
-    deployment.expected_errors = ("loop broke",)
+    deployment.expected_errors = ("loop failed",)
     deployment.run(seconds(400))
     assert 3 < deployment.counts["leaders"] <= 1 + 3 * 4
 
