--- a/spindleglade/leadership/test_election.py
+++ b/spindleglade/leadership/test_election.py
@@ -32,48 +32,50 @@
 
         controller.election._handlers = dataclasses.replace(handlers, on_elected=on_elected)
 
-    for controller in deployment.nodes.values():
+    for controller in deployment.controllers.values():
         record_elections(controller)
     for _ in range(6):
         deployment.run(seconds(rng.uniform(1, 5)))
         fault = rng.choice(["kill", "outage", "refuse"])
         leader = deployment.leader()
         if fault == "kill" and leader is not None:
-            deployment.kill_node(leader)
+            deployment.processes.kill(leader)
             deployment.run(seconds(rng.uniform(0.1, 5)))
-            deployment.start_node(leader)
-            record_elections(deployment.nodes[deployment.node_names[leader]])
+            deployment.processes.start(leader)
+            record_elections(deployment.controllers[deployment.controller_names[leader]])
         elif fault == "outage":
             deployment.state.outage(seconds(rng.uniform(0.5, 6)))
         elif leader is not None:
-            deployment.refused.add(deployment.node_names[leader])
+            deployment.network.refused_by_store.add(deployment.controller_names[leader])
             deployment.run(seconds(rng.uniform(0.5, 6)))
-            deployment.refused.clear()
+            deployment.network.refused_by_store.clear()
     deployment.run(seconds(10))
     assert tokens == sorted(set(tokens)) and len(tokens) >= 2
-    assert sum(controller.is_leader for controller in deployment.nodes.values()) == 1
+    assert sum(controller.is_leader for controller in deployment.controllers.values()) == 1
 
 
 def test_a_deposed_leaders_writes_fail():
     deployment = SimulatedDeployment(3)
     deployment.run(seconds(3))
     leader = deployment.leader()
-    deposed = deployment.nodes[deployment.node_names[leader]]
+    deposed = deployment.controllers[deployment.controller_names[leader]]
     # Its lease expires unnoticed: it can neither renew nor watch, and still takes itself for the leader.
-    deployment.refused.add(deployment.node_names[leader])
-    deployment.cut(deployment.node_names[leader], deployment.node_names, False, seconds(9))
+    deployment.network.refused_by_store.add(deployment.controller_names[leader])
+    deployment.network.cut(
+        deployment.controller_names[leader], deployment.controller_names, False, seconds(9)
+    )
     for _ in range(80):
-        if sum(other.is_leader for other in deployment.nodes.values()) == 2:
+        if sum(other.is_leader for other in deployment.controllers.values()) == 2:
             break
         deployment.run(seconds(0.1))
-    assert deposed.is_leader and sum(other.is_leader for other in deployment.nodes.values()) == 2
-    job = deployment.submit(1, threads=2, run_s=1.0)
-    deployment.refused.clear()
+    assert deposed.is_leader and sum(other.is_leader for other in deployment.controllers.values()) == 2
+    job = deployment.users.submit(1, threads=2, run_s=1.0)
+    deployment.network.refused_by_store.clear()
     deployment.run(seconds(15))
-    assert not deposed.is_leader and deployment.told[job] == "pending"
-    deployment.poll(job)
+    assert not deposed.is_leader and deployment.jobs.observed_states[job] == "pending"
+    deployment.users.poll(job)
     deployment.run(seconds(1))
-    assert deployment.told[job] == "done"
+    assert deployment.jobs.observed_states[job] == "done"
 
 
 def test_a_leader_without_store_and_peers_steps_down_though_its_workers_reach_it():
@@ -81,10 +83,10 @@
     deployment = SimulatedDeployment(3)
     deployment.run(seconds(3))
     leader = deployment.leader()
-    name = deployment.node_names[leader]
-    deployment.cut(name, [*deployment.node_names, "state"], False, seconds(30))
+    name = deployment.controller_names[leader]
+    deployment.network.cut(name, [*deployment.controller_names, "state"], False, seconds(30))
     deployment.run(seconds(6))
-    assert not deployment.nodes[name].is_leader and deployment.leader() not in (None, leader)
+    assert not deployment.controllers[name].is_leader and deployment.leader() not in (None, leader)
 
 
 def test_an_election_during_a_campaign_is_not_taken_for_the_vacancy():
@@ -161,9 +163,9 @@
     deployment = SimulatedDeployment(5)
     deployment.run(seconds(3))
     leader = deployment.leader()
-    name = deployment.node_names[leader]
-    deployment.kill_node(leader)
-    for controller in deployment.nodes.values():
+    name = deployment.controller_names[leader]
+    deployment.processes.kill(leader)
+    for controller in deployment.controllers.values():
         controller.election.on_peer_process_ended(name)
     deployment.run(seconds(0.5))
     assert deployment.leader() not in (None, leader)
@@ -173,15 +175,15 @@
     deployment = SimulatedDeployment(5)
     deployment.run(seconds(3))
     leader = deployment.leader()
-    job = deployment.submit(1, threads=3, run_s=3.0)
+    job = deployment.users.submit(1, threads=3, run_s=3.0)
     deployment.run(seconds(4))
-    other = deployment.nodes[deployment.node_names[(leader + 1) % 3]]
-    other.election.on_peer_process_ended(deployment.node_names[leader])
+    other = deployment.controllers[deployment.controller_names[(leader + 1) % 3]]
+    other.election.on_peer_process_ended(deployment.controller_names[leader])
     deployment.run(seconds(20))
-    assert sum(controller.is_leader for controller in deployment.nodes.values()) == 1
-    deployment.poll(job)
+    assert sum(controller.is_leader for controller in deployment.controllers.values()) == 1
+    deployment.users.poll(job)
     deployment.run(seconds(1))
-    assert deployment.told[job] == "done"
+    assert deployment.jobs.observed_states[job] == "done"
 
 
 def test_a_rate_limited_renewal_is_retried_before_the_lease_expires():
--- a/tests/invariants/liveness_invariants.py
+++ b/tests/invariants/liveness_invariants.py
@@ -19,7 +19,7 @@
 
 
 class LivenessInvariants:
-    """Notes in `deployment.broken` what breaks a rule of liveness.
+    """Notes in `deployment.violations` what breaks a rule of liveness.
 
     - `nobody_leads`: for `LEADS_WITHIN` no controller has led, or none that may start tasks and rent.
     - `stands_still`: no task runs and none has started for `STARTS_WITHIN`, while an accepted job waits whose
@@ -36,16 +36,16 @@
         # When a controller last led that may act.
         self._led = timedelta(0)
 
-    def task_started(self) -> None:
+    def on_task_started(self) -> None:
         self._latest_start = self._deployment.clock.now()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """At any moment."""
         now = self._deployment.clock.now()
         if now - self._looked < LOOK_EVERY:
             return
         self._looked = now
-        processes = {id(node) for node in self._deployment.nodes.values()}
+        processes = {id(node) for node in self._deployment.controllers.values()}
         if self._troubled() or processes != self._processes:
             self._quiet_since, self._processes = now, processes
         self._look_at_leader(now)
@@ -54,15 +54,17 @@
     def _troubled(self) -> bool:
         deployment = self._deployment
         return (
-            deployment.clock.now() < deployment.calm
+            deployment.clock.now() < deployment.fault_window.ends_at
             or deployment.state.down
             or deployment.cloud.trouble
-            or bool(deployment.cuts or deployment.refused or deployment.silent)
-            or bool(deployment.not_receiving or deployment.not_reporting)
+            or bool(
+                deployment.network.cuts or deployment.network.refused_by_store or deployment.network.silent
+            )
+            or bool(deployment.network.unreachable or deployment.network.cannot_report)
         )
 
     def _look_at_leader(self, now: timedelta) -> None:
-        leaders = [node for node in self._deployment.nodes.values() if node.is_leader]
+        leaders = [node for node in self._deployment.controllers.values() if node.is_leader]
         if any(map(_may_act, leaders)):
             self._led = now
         elif self._processes and now - max(self._quiet_since, self._led) > LEADS_WITHIN:
@@ -70,24 +72,24 @@
 
     def _look_at_work(self, now: timedelta) -> None:
         since = max(self._quiet_since, self._latest_start)
-        if now - since <= STARTS_WITHIN or any(self._deployment.on.values()):
+        if now - since <= STARTS_WITHIN or any(self._deployment.executions.running_on.values()):
             return
-        for job_id in sorted(self._deployment.accepted):
-            if now - self._deployment.sent[job_id] > STARTS_WITHIN and self._could_start(job_id):
+        for job_id in sorted(self._deployment.jobs.accepted):
+            if now - self._deployment.jobs.submitted_at[job_id] > STARTS_WITHIN and self._could_start(job_id):
                 self._broken(f"stands_still: {job_id} waits and nothing has started since {since}")
                 return
 
     def _could_start(self, job_id: str) -> bool:
         deployment = self._deployment
-        if deployment.told.get(job_id) in OVER or deployment.dependencies.cancelled(job_id):
+        if deployment.jobs.observed_states.get(job_id) in OVER or deployment.dependencies.cancelled(job_id):
             return False
-        if deployment.is_complete(job_id) or not deployment.dependencies.released(job_id):
+        if deployment.executions.is_complete(job_id) or not deployment.dependencies.released(job_id):
             return False
-        job = deployment.jobs[job_id]
+        job = deployment.jobs.descriptions[job_id]
         return deployment.service.has_room(job) or deployment.cloud.has_room
 
     def _broken(self, what: str) -> None:
-        self._deployment.broken.append(f"{what} at {self._deployment.clock.now()}")
+        self._deployment.violations.append(f"{what} at {self._deployment.clock.now()}")
 
 
 def _may_act(node: "Controller") -> bool:
--- a/tests/invariants/service_invariants.py
+++ b/tests/invariants/service_invariants.py
@@ -25,7 +25,7 @@
 
 
 class ServiceInvariants:
-    """Notes in `deployment.broken` which jobs wait though there is room; checks a whole day at its end."""
+    """Notes in `violations` which jobs wait though there is room, and checks a whole day at its end."""
 
     def __init__(self, deployment: "SimulatedDeployment") -> None:
         self._deployment = deployment
@@ -36,24 +36,30 @@
     def served(self, key: Callable[[dict], Any]) -> dict:
         """By class, team or whatever `key` gives: how much of its jobs is done, of those nobody cancelled."""
         found: dict = {}
-        for job_id, job in self._deployment.jobs.items():
+        for job_id, job in self._deployment.jobs.descriptions.items():
             if not self._deployment.dependencies.cancelled(job_id):
-                found.setdefault(key(job), []).append(self._deployment.told.get(job_id) == "done")
+                found.setdefault(key(job), []).append(
+                    self._deployment.jobs.observed_states.get(job_id) == "done"
+                )
         return {name: sum(done) / len(done) for name, done in found.items()}
 
     def largest(self) -> set[str]:
         """Of each class the jobs that take as much as any of it, all tasks together."""
         most: dict[str, float] = {}
-        for job in self._deployment.jobs.values():
+        for job in self._deployment.jobs.descriptions.values():
             most[job["bobbin"]] = max(most.get(job["bobbin"], 0.0), size(job))
-        return {job_id for job_id, job in self._deployment.jobs.items() if size(job) >= most[job["bobbin"]]}
+        return {
+            job_id
+            for job_id, job in self._deployment.jobs.descriptions.items()
+            if size(job) >= most[job["bobbin"]]
+        }
 
     def check_day(self) -> None:
         """Every job known, and half of each class, of each team and of each class's largest jobs served; the
         largest begun within four minutes."""
         largest = self.largest()
-        assert self._deployment.jobs.keys() == self._deployment.accepted, sorted(
-            self._deployment.jobs.keys() - self._deployment.accepted
+        assert self._deployment.jobs.descriptions.keys() == self._deployment.jobs.accepted, sorted(
+            self._deployment.jobs.descriptions.keys() - self._deployment.jobs.accepted
         )
         for key in (
             lambda job: job["bobbin"],
@@ -63,8 +69,8 @@
             shares = self.served(key)
             assert min(shares.values(), default=1.0) >= LEAST_SERVED, shares
         waits = {
-            job: self._deployment.began.get(job, self._deployment.clock.now() + BEGINS_WITHIN)
-            - self._deployment.sent[job]
+            job: self._deployment.executions.began_at.get(job, self._deployment.clock.now() + BEGINS_WITHIN)
+            - self._deployment.jobs.submitted_at[job]
             for job in largest
             if not self._deployment.dependencies.cancelled(job)
         }
@@ -79,7 +85,7 @@
             if worker.gone:
                 continue
             for name, _ in worker.tasks:
-                job = self._deployment.jobs[name.rpartition("/")[0]]
+                job = self._deployment.jobs.descriptions[name.rpartition("/")[0]]
                 held[job["crew"]] += job["vcpus"]
             if worker.hung is None and worker.warning is None:
                 free.append((worker.machine, *worker._free()))
@@ -87,13 +93,13 @@
 
     def _fits(self, job: dict, free: list[tuple[Machine, float, float]], held: Counter) -> bool:
         """Whether a task of the job could start somewhere, by all that the rules say."""
-        if held[job["crew"]] + job["vcpus"] > self._deployment.at.limit(job["crew"]):
+        if held[job["crew"]] + job["vcpus"] > self._deployment.config.limit(job["crew"]):
             return False
         tasks = (f"{job['ref']}/{index}" for index in range(job["threads"]))
         zones = [
             self._deployment.workers[name].machine.zone
             for task in tasks
-            for name in self._deployment.on.get(task, ())
+            for name in self._deployment.executions.running_on.get(task, ())
         ]
         for machine, cpus, memory in free:
             if (machine.spot and not job["windfall"]) or (job["glade"] and job["glade"] != machine.zone):
@@ -114,32 +120,37 @@
         """How long a team's jobs take at its limit, if each takes as long as it may."""
         cpu_s = sum(
             size(job) * LONGEST_RUN * job["run_s"]
-            for job in self._deployment.jobs.values()
+            for job in self._deployment.jobs.descriptions.values()
             if job["crew"] == team
         )
-        return seconds(cpu_s / self._deployment.at.limit(team))
+        return seconds(cpu_s / self._deployment.config.limit(team))
 
-    def look(self) -> None:
+    def check(self) -> None:
         """No job may wait for long while a machine that fits has room and its team is under its limit."""
         now = self._deployment.clock.now()
-        if now < self._deployment.calm or now - self._looked < LOOK_EVERY:
+        if now < self._deployment.fault_window.ends_at or now - self._looked < LOOK_EVERY:
             return
         self._looked = now
         free, held = self._room()
-        for job_id in self._deployment.accepted:
-            job = self._deployment.jobs[job_id]
+        for job_id in self._deployment.jobs.accepted:
+            job = self._deployment.jobs.descriptions[job_id]
             tasks = [f"{job_id}/{index}" for index in range(job["threads"])]
             if (
                 self._deployment.dependencies.cancelled(job_id)
                 or not self._deployment.dependencies.released(job_id)
-                or self._deployment.told.get(job_id) in OVER
-                or all(task in self._deployment.completed or self._deployment.on.get(task) for task in tasks)
+                or self._deployment.jobs.observed_states.get(job_id) in OVER
+                or all(
+                    task in self._deployment.executions.completed
+                    or self._deployment.executions.running_on.get(task)
+                    for task in tasks
+                )
                 or not self._fits(job, free, held)
             ):
                 self._passed_over.pop(job_id, None)
                 continue
             since = max(
-                self._passed_over.setdefault(job_id, now), self._deployment.latest_start.get(job_id, now * 0)
+                self._passed_over.setdefault(job_id, now),
+                self._deployment.executions.latest_start_at.get(job_id, now * 0),
             )
             if now - since > IDLE_ROOM:
-                self._deployment.broken.append(f"waits {job_id} since {since} while there is room")
+                self._deployment.violations.append(f"waits {job_id} since {since} while there is room")
--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -77,8 +77,8 @@
     def submit(number: int) -> None:
         name = list(CLASSES)[number % len(CLASSES)]
         fields = CLASSES[name] | {"bobbin": name, "crew": TEAMS[number % len(TEAMS)]}
-        job = deployment.submit(number, **fields)
-        deployment.watch(job, seconds(5))
+        job = deployment.users.submit(number, **fields)
+        deployment.users.poll_until_over(job, seconds(5))
         jobs.append(job)
 
     for number in range(int(LAST_SUBMISSION.total_seconds() / every)):
@@ -89,7 +89,7 @@
 def restart_all(deployment: SimulatedDeployment) -> None:
     """All controllers end within three seconds."""
     for index, (ends, back) in enumerate(((0.0, 4.0), (1.0, 0.2), (2.5, 3.0))):
-        deployment.clock.later(seconds(ends), deployment.restart, index, seconds(back))
+        deployment.clock.later(seconds(ends), deployment.faults.restart, index, seconds(back))
 
 
 def share(values: list[float], part: float) -> float:
@@ -112,28 +112,28 @@
     deployment.cloud.page = 500
     jobs = submit_all(deployment, options.machines)
     deployment.clock.later(RESTART_AT, restart_all, deployment)
-    deployment.clock.later(CUT_AT, deployment.cut_zone, "b", True, CUT_FOR)
+    deployment.clock.later(CUT_AT, deployment.network.cut_zone, "b", True, CUT_FOR)
     most_machines = 0
     while deployment.clock.now() < DAY:
         deployment.run(seconds(10), STEP)
         machines = sum(not worker.gone for worker in deployment.workers.values())
         most_machines = max(most_machines, machines)
         at_s = deployment.clock.now().total_seconds()
-        done = sum(stage == "done" for stage in deployment.told.values())
+        done = sum(stage == "done" for stage in deployment.jobs.observed_states.values())
         print(
-            f"at {at_s:.0f} s: {machines} machines, {deployment.started} starts, "
+            f"at {at_s:.0f} s: {machines} machines, {deployment.executions.started} starts, "
             f"{done} of {len(jobs)} jobs done, "
             f"{len(deployment.state.keys)} keys, revision {deployment.state.revision}, "
             f"{time.monotonic() - began:.0f} s real",
             flush=True,
         )
     waits = [
-        (deployment.began[job] - deployment.sent[job]).total_seconds()
+        (deployment.executions.began_at[job] - deployment.jobs.submitted_at[job]).total_seconds()
         for job in jobs
-        if job in deployment.began
+        if job in deployment.executions.began_at
     ]
     print(f"machines: {most_machines} at most, {deployment.cloud.made} rented in all")
-    print(f"jobs: {len(jobs)}, accepted {len(deployment.accepted)}, begun {len(waits)}")
+    print(f"jobs: {len(jobs)}, accepted {len(deployment.jobs.accepted)}, begun {len(waits)}")
     print(
         f"first start after s: p50 {share(waits, 0.5):.1f}, p90 {share(waits, 0.9):.1f}, max {max(waits):.1f}"
     )
@@ -145,7 +145,10 @@
         f"state service: {deployment.state.changes} changes, "
         f"{deployment.state.too_many} requests refused as too many"
     )
-    print(f"connections of one controller: {deployment.most_open} at most, limit {deployment.at.sockets}")
+    print(
+        f"connections of one controller: {deployment.connections.most_open} at most, "
+        f"limit {deployment.config.sockets}"
+    )
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     print(f"memory of the whole simulation, fakes included: {peak_mb:.0f} MB")
     print("rules: none broken")
--- a/tests/pipelines.py
+++ b/tests/pipelines.py
@@ -72,8 +72,8 @@
     ) -> None:
         self.deployment, self.first, self.shape, self.fields = deployment, first, shape, fields
         self._sent: set[int] = set()
-        deployment.when_accepted.append(lambda job: self._submit_what_can_be())
-        deployment.when_over.append(lambda job: self._submit_what_can_be())
+        deployment.users.accepted_callbacks.append(lambda job: self._submit_what_can_be())
+        deployment.users.over_callbacks.append(lambda job: self._submit_what_can_be())
         self._submit_what_can_be()
 
     def job(self, place: int) -> str:
@@ -97,15 +97,15 @@
     def _may_submit(self, stage: Stage) -> bool:
         needed = [self.job(place) for place in stage.needs]
         if stage.late:
-            return all(self.deployment.told.get(job) in OVER for job in needed)
-        return all(job in self.deployment.accepted for job in needed)
+            return all(self.deployment.jobs.observed_states.get(job) in OVER for job in needed)
+        return all(job in self.deployment.jobs.accepted for job in needed)
 
     def _submit(self, place: int, stage: Stage) -> None:
         self._sent.add(place)
         fields = dict(self.fields[place])
         if stage.needs:
             fields["awaits"] = [self.job(needed) for needed in stage.needs]
-        self.deployment.watch(self.deployment.submit(self.first + place, **fields))
+        self.deployment.users.poll_until_over(self.deployment.users.submit(self.first + place, **fields))
 
 
 class Pipelines:
@@ -136,14 +136,14 @@
         def accepted(job: str) -> None:
             if rng.random() < share:
                 self.deployment.counts["pipeline cancelled"] += 1
-                self.deployment.clock.later(within * rng.random(), self.deployment.abort, job)
+                self.deployment.clock.later(within * rng.random(), self.deployment.users.cancel, job)
 
-        self.deployment.when_accepted.append(accepted)
+        self.deployment.users.accepted_callbacks.append(accepted)
 
     def _any_job(self) -> dict[str, Any]:
         rng = self.deployment.rng
         return {
-            "crew": rng.choice([team["name"] for team in self.deployment.at.teams]),
+            "crew": rng.choice([team["name"] for team in self.deployment.config.teams]),
             "urgency": rng.choice(["critical", "high", "normal", "best_effort"]),
             "threads": rng.choice([1, 2, 3]),
             "vcpus": rng.choice([1.0, 2.0, 4.0]),
@@ -156,20 +156,28 @@
         """Once all is well each pipeline is submitted in full, each job ends, and users hear so: a job that
         nobody cancelled, nor any before it, is done, and what comes after an aborted one is aborted."""
         deployment = self.deployment
-        end = max(deployment.clock.now(), deployment.calm) + span
+        end = max(deployment.clock.now(), deployment.fault_window.ends_at) + span
         while not self._settled() and deployment.clock.now() < end:
             deployment.run(seconds(1))
         assert all(pipeline.complete for pipeline in self.all), "some jobs were never submitted"
         open_jobs = {
-            job: deployment.told.get(job) for job in deployment.jobs if deployment.told.get(job) not in OVER
+            job: deployment.jobs.observed_states.get(job)
+            for job in deployment.jobs.descriptions
+            if deployment.jobs.observed_states.get(job) not in OVER
         }
         assert not open_jobs, open_jobs
-        for job in deployment.jobs:
-            aborted = deployment.dependencies.aborted_ancestors(job)
-            assert not aborted or deployment.told[job] == "aborted", (job, deployment.told[job], aborted)
-            assert deployment.told[job] == "done" or deployment.dependencies.cancelled(job), job
+        for job in deployment.jobs.descriptions:
+            aborted = deployment.dependencies.cancelled_ancestors(job)
+            assert not aborted or deployment.jobs.observed_states[job] == "aborted", (
+                job,
+                deployment.jobs.observed_states[job],
+                aborted,
+            )
+            assert deployment.jobs.observed_states[job] == "done" or deployment.dependencies.cancelled(job), (
+                job
+            )
 
     def _settled(self) -> bool:
         return all(pipeline.complete for pipeline in self.all) and all(
-            self.deployment.told.get(job) in OVER for job in self.deployment.jobs
+            self.deployment.jobs.observed_states.get(job) in OVER for job in self.deployment.jobs.descriptions
         )
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -11,7 +11,12 @@
 from tests.versions import Version
 
 if TYPE_CHECKING:
-    from tests.simulated_deployment import SimulatedDeployment
+    from tests.simulation.connections import OpenConnections
+    from tests.simulation.network import SimulatedNetwork
+
+# The addresses of the services, and what they are called in the network; machines go by their address.
+SERVICE_NAMES = {"10.2.0.1:1": "state", "10.2.0.2:1": "cloud"}
+MACHINE_PREFIX = "n-"
 
 
 class Errors(logging.Handler):
@@ -60,9 +65,15 @@
     """The outgoing requests of one process, answered in the terms of its version."""
 
     def __init__(
-        self, deployment: "SimulatedDeployment", name: str, life: LifeClock, version: Version
+        self,
+        network: "SimulatedNetwork",
+        connections: "OpenConnections",
+        name: str,
+        life: LifeClock,
+        version: Version,
     ) -> None:
-        self._deployment, self._name, self._life = deployment, name, life
+        self._network, self._connections = network, connections
+        self._name, self._life = name, life
         self._no_response = version.named("http.errors", "NoResponseError")
         self._not_sent = version.named("http.errors", "NotSentError")
         self._response = version.named("http.client", "ClientResponse")
@@ -88,19 +99,21 @@
             if not waiter.called:
                 waiter.errback(self._no_response("timed out"))
 
-        target = self._deployment.names.get(address, address)
-        if self._deployment.refuses(self._name, target):
+        target = SERVICE_NAMES.get(address, address)
+        if self._network.refuses(target):
             raise self._not_sent("refused")
-        sockets = self._deployment.sockets[self._name]
-        if target.startswith("n-"):
-            self._deployment.opened(sockets)
-        self._deployment.carry(self._name, target, method, path, body or b"", answered)
+        # A process that starts anew has another budget.
+        budget = self._connections.budgets[self._name]
+        is_machine = target.startswith(MACHINE_PREFIX)
+        if is_machine:
+            self._connections.on_opened(self._name)
+        self._network.carry(self._name, target, method, path, body or b"", answered)
         timer = self._life.later(timeout or seconds(5), late)
         try:
             return await waiter
         finally:
-            if target.startswith("n-"):
-                sockets.on_closed()
+            if is_machine:
+                budget.on_closed()
             if timer.active():
                 timer.cancel()
 
--- a/tests/record_production.py
+++ b/tests/record_production.py
@@ -20,6 +20,7 @@
 from tests.fakes.worker import Worker
 from tests.production import COMMIT, HISTORY, LEADER, TASKS, TOKEN, TYPES, VOUCHED
 from tests.simulated_deployment import SimulatedDeployment
+from tests.simulation.network import SimulatedNetwork
 
 SEED = 6
 
@@ -33,7 +34,7 @@
     writes: list[_RawWrite]
 
 
-class RecordingDeployment(SimulatedDeployment):
+class RecordingNetwork(SimulatedNetwork):
     """Keeps the text of each value as it was sent, and the longest sibling message of each kind."""
 
     def __init__(self, *args: Any, **named: Any) -> None:
@@ -41,8 +42,8 @@
         self.messages: dict[str, bytes] = {}
         super().__init__(*args, **named)
 
-    def _serve(self, source: str, target: str, method: str, path: str, body: bytes) -> Any:
-        answer: Any = super()._serve(source, target, method, path, body)
+    def serve(self, source: str, target: str, method: str, path: str, body: bytes) -> Any:
+        answer: Any = super().serve(source, target, method, path, body)
         if target == "state" and path == "/txn" and answer[0] == 200:
             self._note_writes(body, answer)
         return answer
@@ -59,12 +60,21 @@
         return super().as_received(message, receiver)
 
 
+class RecordingDeployment(SimulatedDeployment):
+    """A deployment whose network records."""
+
+    network_type = RecordingNetwork
+    network: RecordingNetwork
+
+
 def run_until_recorded() -> RecordingDeployment:
     """A loaded day up to a moment at which the store holds a record of each kind."""
     deployment = RecordingDeployment(SEED, error=0.15, config=day.RECORDED)
     deployment.run(seconds(3))
     lasts = [4.0 + (index * 7) % 60 for index in range(day.LARGE_ARRAY_TASKS)]
-    deployment.submit(1, threads=day.LARGE_ARRAY_TASKS, vcpus=1.0, mem_gb=0.1, run_s=lasts, reckon_s=30.0)
+    deployment.users.submit(
+        1, threads=day.LARGE_ARRAY_TASKS, vcpus=1.0, mem_gb=0.1, run_s=lasts, reckon_s=30.0
+    )
     for number in range(2, 26):
         deployment.clock.later(seconds(number * 1.2), _submit_small, deployment, number)
     deployment.run(seconds(14))
@@ -72,28 +82,32 @@
     assert leader is not None
     follower = (leader + 1) % 3
     # Users' requests are forwarded while the store refuses a node.
-    deployment.refuse(follower, seconds(4))
+    deployment.faults.refuse(follower, seconds(4))
     # Such a node hears of cancellations from its siblings.
-    deployment.clock.later(seconds(1), deployment.abort, "job-000003", 40, deployment.node_names[leader])
+    deployment.clock.later(
+        seconds(1), deployment.users.cancel, "job-000003", 40, deployment.controller_names[leader]
+    )
     for _ in range(6):
-        deployment.submit_odd()
-        deployment.poll(day.LARGE_ARRAY, deployment.node_names[follower])
+        deployment.invalid_requests.submit()
+        deployment.users.poll(day.LARGE_ARRAY, deployment.controller_names[follower])
     deployment.run(seconds(6))
     # Nodes vouch for machines while they cannot reach the leader, and so do not tell it what has ended.
-    names = deployment.node_names
+    names = deployment.controller_names
     for name in names:
-        deployment.cut(name, names, False, seconds(10))
+        deployment.network.cut(name, names, False, seconds(10))
     aborted = [
-        job for job in sorted(deployment.jobs) if job != day.LARGE_ARRAY and deployment.machines_of(job)
+        job
+        for job in sorted(deployment.jobs.descriptions)
+        if job != day.LARGE_ARRAY and deployment.executions.machines_of(job)
     ][:3]
     for job in aborted:
         # What hangs does not tell of its tasks' end, so they linger in the store.
-        for machine in deployment.machines_of(job):
-            deployment.hang(machine, seconds(5))
-        deployment.abort(job)
+        for machine in deployment.executions.machines_of(job):
+            deployment.faults.hang(machine, seconds(5))
+        deployment.users.cancel(job)
     deployment.run(seconds(2))
-    for job in sorted(deployment.jobs):
-        deployment.poll(job)
+    for job in sorted(deployment.jobs.descriptions):
+        deployment.users.poll(job)
     deployment.run(seconds(1))
     _run_until_complete(deployment)
     return deployment
@@ -101,7 +115,9 @@
 
 def _submit_small(deployment: SimulatedDeployment, number: int) -> None:
     running = 40.0 if number % 4 == 3 else 0.5 + number % 3
-    deployment.submit(number, crew="blue", threads=1 + number % 3, mem_gb=0.1, run_s=running, reckon_s=5.0)
+    deployment.users.submit(
+        number, crew="blue", threads=1 + number % 3, mem_gb=0.1, run_s=running, reckon_s=5.0
+    )
 
 
 def _run_until_complete(deployment: RecordingDeployment) -> None:
@@ -130,7 +146,7 @@
     state = deployment.state
     leases = [day.StoredLease(number, lease[0].total_seconds()) for number, lease in state.leases.items()]
     entries = [
-        day.StoredEntry(key, deployment.values[key], mark, lease)
+        day.StoredEntry(key, deployment.network.values[key], mark, lease)
         for key, (_, mark, lease) in sorted(state.keys.items())
     ]
     return day.RecordedStore(COMMIT, state.revision, state.next_lease, leases, entries)
@@ -139,13 +155,13 @@
 def recorded_surroundings(deployment: SimulatedDeployment) -> day.RecordedSurroundings:
     machines = [_machine(deployment, worker) for worker in deployment.workers.values() if not worker.gone]
     users = day.RecordedUsers(
-        {job: deployment.jobs[job] for job in sorted(deployment.accepted)},
-        {job: deployment.sent[job].total_seconds() for job in sorted(deployment.accepted)},
-        deployment.told,
-        sorted(deployment.asked_abort),
-        {job: at.total_seconds() for job, at in deployment.aborted_at.items()},
-        sorted(deployment.completed),
-        dict(deployment.starts),
+        {job: deployment.jobs.descriptions[job] for job in sorted(deployment.jobs.accepted)},
+        {job: deployment.jobs.submitted_at[job].total_seconds() for job in sorted(deployment.jobs.accepted)},
+        deployment.jobs.observed_states,
+        sorted(deployment.jobs.cancel_requested),
+        {job: at.total_seconds() for job, at in deployment.jobs.cancelled_at.items()},
+        sorted(deployment.executions.completed),
+        dict(deployment.executions.start_counts),
     )
     now = deployment.clock.now().total_seconds()
     return day.RecordedSurroundings(now, machines, deployment.cloud.made, deployment.cloud.answers, users)
@@ -179,11 +195,11 @@
 
 def main() -> None:
     deployment = run_until_recorded()
-    assert deployment.messages.keys() == {"Ping", "Relay", "Relayed", "Forward", "Forwarded"}
+    assert deployment.network.messages.keys() == {"Ping", "Relay", "Relayed", "Forward", "Forwarded"}
     day.FIXTURES.mkdir(parents=True, exist_ok=True)
     for name, content in (
         ("store", recorded_store(deployment)),
-        ("messages", deployment.messages),
+        ("messages", deployment.network.messages),
         ("surroundings", recorded_surroundings(deployment)),
     ):
         text = msgspec.json.format(msgspec.json.encode(content), indent=1)
--- a/tests/recorded_day.py
+++ b/tests/recorded_day.py
@@ -121,7 +121,7 @@
     def begin(deployment: SimulatedDeployment) -> None:
         _restore(deployment)
         for index in nodes:
-            deployment.start_node(index)
+            deployment.processes.start(index)
 
     return SimulatedDeployment(seed, config=config, begin=begin)
 
@@ -145,14 +145,14 @@
 
 
 def _restore_users(deployment: SimulatedDeployment, users: RecordedUsers) -> None:
-    deployment.jobs.update(users.jobs)
-    deployment.sent.update({job: seconds(at) for job, at in users.sent_s.items()})
-    deployment.told.update(users.told)
-    deployment.accepted.update(users.told)
-    deployment.asked_abort.update(users.asked_abort)
-    deployment.aborted_at.update({job: seconds(at) for job, at in users.aborted_at_s.items()})
-    deployment.completed.update(users.completed)
-    deployment.starts.update(users.starts)
+    deployment.jobs.descriptions.update(users.jobs)
+    deployment.jobs.submitted_at.update({job: seconds(at) for job, at in users.sent_s.items()})
+    deployment.jobs.observed_states.update(users.told)
+    deployment.jobs.accepted.update(users.told)
+    deployment.jobs.cancel_requested.update(users.asked_abort)
+    deployment.jobs.cancelled_at.update({job: seconds(at) for job, at in users.aborted_at_s.items()})
+    deployment.executions.completed.update(users.completed)
+    deployment.executions.start_counts.update(users.starts)
 
 
 def _restore_machines(deployment: SimulatedDeployment, surroundings: RecordedSurroundings) -> None:
@@ -162,7 +162,7 @@
         since = seconds(recorded.since_s)
         machine = Machine(recorded.name, recorded.type, recorded.zone, recorded.spot, since, "running")
         deployment.cloud.machines[machine.name] = machine
-        deployment.machine_up(machine)
+        deployment.machines.start_worker(machine)
         worker = deployment.workers[machine.name]
         worker.session, worker.tally, worker.token = recorded.session, recorded.tally, recorded.token
         worker.done.update(recorded.done)
@@ -174,7 +174,7 @@
     task = Task(recorded.name, recorded.attempt, recorded.stage, recorded.cause)
     worker.tasks[(task.name, task.attempt)] = task
     if task.stage == "running":
-        deployment.task_on(worker.machine.name, task.name)
+        deployment.executions.on_task_started(worker.machine.name, task.name)
     if recorded.left_s is not None:
         worker.resume(task, seconds(recorded.left_s))
 
@@ -185,7 +185,7 @@
     """What each node answers for each job, asked straight: the status and the body."""
     got: dict[tuple[str, str], tuple[int, Any]] = {}
     waiting: list[Deferred] = []
-    for name, node in deployment.nodes.items():
+    for name, node in deployment.controllers.items():
         for job in jobs:
             waiting.append(Deferred.fromCoroutine(node.handle("GET", f"/submissions/{job}", b"")))
             waiting[-1].addCallback(
--- a/tests/simulated_peer_network.py
+++ b/tests/simulated_peer_network.py
@@ -27,7 +27,7 @@
     def __init__(self, deployment: "SimulatedDeployment", own: str, other: str, on_message: Any) -> None:
         self._deployment, self._own, self._other = deployment, own, other
         self._on_message = on_message
-        self._lives = [deployment.lives[own], deployment.lives[other]]
+        self._lives = [deployment.processes.clocks[own], deployment.processes.clocks[other]]
         self.peer: SimulatedPeerConnection | None = None
         self.transport = self
         # Called when the process at either end ends.
@@ -36,10 +36,10 @@
     def send(self, message: Message) -> None:
         """Sends a message to the other end."""
         deployment = self._deployment
-        if self._other in deployment.silent:
-            deployment.sent_to_silent[self._own, type(message)].append(deployment.clock.now())
-        received = deployment.as_received(message, self._other)
-        deployment.pass_to_sibling(self._own, self._other, lambda: self._arrive(received))
+        if self._other in deployment.network.silent:
+            deployment.network.sent_to_silent[self._own, type(message)].append(deployment.clock.now())
+        received = deployment.network.as_received(message, self._other)
+        deployment.network.pass_to_peer(self._own, self._other, lambda: self._arrive(received))
 
     def _arrive(self, message: Message) -> None:
         if self.peer is not None and all(life.alive for life in self._lives):
@@ -47,7 +47,7 @@
 
     def abortConnection(self) -> None:
         """Closes this end."""
-        self._deployment.connections_of_siblings.pop(self, None)
+        self._deployment.network.peer_connections.pop(self, None)
 
     def end_with(self, life: LifeClock) -> None:
         """Closes the connection if it belongs to the process that has ended."""
@@ -66,14 +66,14 @@
 async def _connect(
     deployment: "SimulatedDeployment", own: str, connection: PeerConnection, host: str, port: int
 ) -> None:
-    other, life = connection.peer.name, deployment.lives[own]
-    if other not in deployment.nodes:
+    other, life = connection.peer.name, deployment.processes.clocks[own]
+    if other not in deployment.controllers:
         raise ConnectionRefusedError
-    if deployment.is_cut(own, other) and other not in deployment.silent:
+    if deployment.network.is_cut(own, other) and other not in deployment.network.silent:
         await sleep(life, CONNECT_TIMEOUT)
         raise TimeoutError
     near = SimulatedPeerConnection(deployment, own, other, connection._on_message)
-    far = SimulatedPeerConnection(deployment, other, own, deployment.nodes[other].peers._on_request)
+    far = SimulatedPeerConnection(deployment, other, own, deployment.controllers[other].peers._on_request)
     near.peer, far.peer = far, near
 
     def on_closed() -> None:
@@ -81,7 +81,7 @@
             _close_by_peer(connection, life)
 
     near.on_closed = on_closed
-    deployment.connections_of_siblings[near] = None
+    deployment.network.peer_connections[near] = None
     connection._connection = near
 
 
--- /dev/null
+++ b/tests/simulation/users.py
@@ -0,0 +1,206 @@
+"""The users of a simulated deployment: they submit, cancel and poll jobs, and note what they were told."""
+
+from collections import Counter
+from collections.abc import Callable
+from datetime import timedelta
+from random import Random
+from typing import Any
+
+from spindleglade.runtime.clock import ManualClock, seconds
+from tests.deployment_config import description
+from tests.fakes.encoding import Reply, decode, encode
+from tests.invariants.answer_invariants import AnswerInvariants
+from tests.invariants.dependency_invariants import OVER
+from tests.simulation.endpoints import USER, Endpoints
+from tests.simulation.fault_window import FaultRates
+from tests.simulation.job_records import JobRecords
+from tests.simulation.network import SimulatedNetwork
+
+OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE = 200, 201, 400, 404, 422
+DEFINITE = (OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE)
+# How often a request is sent again, how long a user waits for its answer, and between two attempts.
+MAX_RETRIES = 40
+ANSWER_TIMEOUT = seconds(2)
+RETRY_DELAY = seconds(1)
+REFUSAL_DELAY = seconds(0.001)
+POLL_INTERVAL = timedelta(seconds=1.3)
+# When a user cancels who does so at a job's end: at once, or while the end is on the way to the controllers.
+CANCEL_AT_END_DELAYS_S = (0.0, 0.05, 0.3, 0.6)
+# Users who ask everywhere do so so many times, so far apart, within this time at all controllers; most poll
+# the job, the others repeat its submission.
+POLLS_EVERYWHERE = 4
+POLLS_EVERYWHERE_APART_S = (0.002, 0.02, 0.3)
+POLLS_EVERYWHERE_WITHIN_S = 0.004
+POLL_PROBABILITY = 0.7
+
+OnAnswer = Callable[[int, bytes], None]
+
+
+class SimulatedUsers:
+    """Sends the requests of users, over and over until they are answered, and has each answer checked."""
+
+    def __init__(
+        self,
+        clock: ManualClock,
+        rng: Random,
+        rates: FaultRates,
+        counts: Counter[str],
+        endpoints: Endpoints,
+        network: SimulatedNetwork,
+        jobs: JobRecords,
+        answers: AnswerInvariants,
+    ) -> None:
+        self._clock, self._rng, self._rates, self._counts = clock, rng, rates, counts
+        self._endpoints, self._network = endpoints, network
+        self._jobs, self._answers = jobs, answers
+        # Called with each job when its user first observes that it is accepted, and when it is over.
+        self.accepted_callbacks: list[Callable[[str], None]] = []
+        self.over_callbacks: list[Callable[[str], None]] = []
+
+    def request(
+        self,
+        method: str,
+        path: str,
+        body: bytes,
+        on_answer: OnAnswer,
+        retries: int = MAX_RETRIES,
+        controller: str | None = None,
+    ) -> None:
+        """Sends a request, at first to the given controller, until it gets a definite answer."""
+        target = controller or self._rng.choice(self._endpoints.controller_names)
+        settled = False
+
+        def settle(answer: Reply | None) -> None:
+            nonlocal settled
+            if settled:
+                return
+            settled = True
+            if answer is not None and answer[0] in DEFINITE:
+                on_answer(*answer)
+            elif retries:
+                self._clock.later(RETRY_DELAY, self.request, method, path, body, on_answer, retries - 1)
+
+        if self._network.refuses(target):
+            self._clock.later(REFUSAL_DELAY, settle, None)
+            return
+        self._network.carry(USER, target, method, path, body, settle)
+        self._clock.later(ANSWER_TIMEOUT, settle, None)
+
+    def submit(self, number: int, **fields: Any) -> str:
+        """Submits a new job, whose description differs from the usual one in these fields."""
+        job_id = f"job-{number:06d}"
+        self._jobs.descriptions[job_id] = description(job_id, fields)
+        self._jobs.submitted_at[job_id] = self._clock.now()
+        self.send_submission(job_id)
+        return job_id
+
+    def submit_and_poll(self, number: int, **fields: Any) -> str:
+        """The same, and polls until the job is over."""
+        job_id = self.submit(number, **fields)
+        self.poll_until_over(job_id)
+        return job_id
+
+    def send_submission(self, job_id: str, retries: int = MAX_RETRIES, controller: str | None = None) -> None:
+        """Sends a submission, for the first time or once more."""
+        before = self._jobs.observed_states.get(job_id)
+
+        def on_answer(status: int, body: bytes) -> None:
+            self._counts[f"submission {status}"] += 1
+            if status in (BAD_REQUEST, NOT_FOUND, UNPROCESSABLE):
+                self._answers.violated(f"forgotten {job_id}: {status}")
+                return
+            if status == CREATED and before is not None:
+                self._answers.violated(f"went_back {job_id} accepted anew after {before}")
+            self._observe_state(job_id, decode(body)["stage"], before)
+
+        body = encode(self._jobs.descriptions[job_id])
+        self.request("POST", "/submissions", body, on_answer, retries, controller)
+
+    def cancel(self, job_id: str, retries: int = MAX_RETRIES, controller: str | None = None) -> None:
+        """Asks to cancel the job."""
+        self._jobs.cancel_requested.add(job_id)
+        before = self._jobs.observed_states.get(job_id)
+
+        def on_answer(status: int, body: bytes) -> None:
+            if status == OK:
+                self._on_cancelled(job_id, decode(body)["stage"], before)
+            elif status != NOT_FOUND:
+                self._answers.violated(f"abort {job_id} answered {status}")
+            elif before is not None:
+                self._answers.violated(f"forgotten {job_id}")
+            elif retries:
+                # Its submission is still on the way.
+                self._clock.later(RETRY_DELAY, self.cancel, job_id, retries - 1)
+
+        self.request("POST", f"/submissions/{job_id}/abort", b"", on_answer, retries, controller)
+
+    def _on_cancelled(self, job_id: str, state: str, before: str | None) -> None:
+        if state == "aborted":
+            self._jobs.cancelled_at.setdefault(job_id, self._clock.now())
+        elif state != "done":
+            self._answers.violated(f"abort {job_id} answered {state}")
+        self._observe_state(job_id, state, before)
+
+    def cancel_at_end(self, job_id: str) -> None:
+        """The job's last task has ended; some users cancel it at that moment."""
+        if self._rng.random() < self._rates.cancel_at_end:
+            self._counts["cancelled at its end"] += 1
+            delay = seconds(self._rng.choice(CANCEL_AT_END_DELAYS_S))
+            self._clock.later(delay, self.cancel, job_id)
+
+    def poll(self, job_id: str, controller: str | None = None) -> None:
+        """Asks once for the job."""
+        # What an answer must not be older than: what was told before the question.
+        before = self._jobs.observed_states.get(job_id)
+        done_before = self._jobs.observed_done_counts.get(job_id, 0)
+        self._jobs.polled_at[job_id] = self._clock.now()
+
+        def on_answer(status: int, body: bytes) -> None:
+            self._jobs.answered_at[job_id] = self._clock.now()
+            if status == NOT_FOUND:
+                if before is not None:
+                    self._answers.violated(f"forgotten {job_id}")
+            elif job_id not in self._jobs.descriptions:
+                self._answers.violated(f"invented {job_id}")
+            else:
+                answer = decode(body)
+                self._observe_state(job_id, answer["stage"], before)
+                self._answers.observe_done_count(job_id, answer, done_before)
+
+        self.request("GET", f"/submissions/{job_id}", b"", on_answer, 0, controller)
+
+    def poll_until_over(self, job_id: str, interval: timedelta = POLL_INTERVAL) -> None:
+        """Polls until the job is over, like its user."""
+        if self._jobs.observed_states.get(job_id) not in OVER:
+            self.poll(job_id)
+            self._clock.later(interval, self.poll_until_over, job_id, interval)
+
+    def _observe_state(self, job_id: str, state: str, before: str | None) -> None:
+        is_new = job_id not in self._jobs.accepted
+        self._jobs.accepted.add(job_id)
+        self._answers.check_state(job_id, state, before)
+        known = self._jobs.observed_states.get(job_id)
+        if known in OVER:
+            return
+        self._jobs.observed_states[job_id] = state
+        accepted = self.accepted_callbacks if is_new else ()
+        over = self.over_callbacks if state in OVER else ()
+        for call in (*accepted, *over):
+            call(job_id)
+        if self._rates.poll_everywhere and (known is None or state in OVER):
+            self._poll_everywhere(job_id)
+
+    def _poll_everywhere(self, job_id: str) -> None:
+        """Users ask at all controllers within milliseconds, again and again, and repeat the submission."""
+        self._counts["close looks"] += 1
+        for time in range(POLLS_EVERYWHERE):
+            for name in self._endpoints.controller_names:
+                spread_s = self._rng.uniform(0, POLLS_EVERYWHERE_WITHIN_S)
+                delay = seconds(spread_s + time * self._rng.choice(POLLS_EVERYWHERE_APART_S))
+                if self._rng.random() < POLL_PROBABILITY:
+                    self._clock.later(delay, self.poll, job_id, name)
+                else:
+                    self._clock.later(delay, self.send_submission, job_id, 0, name)
+        is_over = self._jobs.observed_states[job_id] in OVER
+        if not is_over and self._rng.random() < self._rates.cancel_at_once:
+            self.cancel(job_id)
--- a/tests/stored_tasks.py
+++ b/tests/stored_tasks.py
@@ -10,7 +10,7 @@
 
 
 class StoredTasks:
-    """Looks at the store at each transaction, and notes in `deployment.broken` what was lost by it.
+    """Looks at the store at each transaction, and notes in `deployment.violations` what was lost by it.
 
     A task that was done stays so, and the highest attempt of one that is not done never falls, in whichever
     keys a job's tasks stand, for as long as the job is open. So a leader that takes over at any point gives
@@ -82,10 +82,10 @@
     def _compare(self, job: str, done: set[int], attempts: dict[int, int]) -> None:
         lost = self._done.get(job, set()) - done
         if lost:
-            self._deployment.broken.append(f"lost in the store: {job} tasks {sorted(lost)} are done")
+            self._deployment.violations.append(f"lost in the store: {job} tasks {sorted(lost)} are done")
         for task, attempt in self._attempts.get(job, {}).items():
             if task not in done and attempts.get(task, 0) < attempt:
-                self._deployment.broken.append(f"lost in the store: attempt {attempt} of {job}/{task}")
+                self._deployment.violations.append(f"lost in the store: attempt {attempt} of {job}/{task}")
 
 
 def _split_part_key(key: str) -> tuple[str, int]:
@@ -115,5 +115,5 @@
             for at in worker.tasks:
                 where = (name, worker.session)
                 if self._seen.setdefault(at, where) != where:
-                    self._deployment.broken.append(f"attempt {at} on {where} and on {self._seen[at]}")
-        self._deployment.clock.later(self._deployment.at.report / 10, self._sample)
+                    self._deployment.violations.append(f"attempt {at} on {where} and on {self._seen[at]}")
+        self._deployment.clock.later(self._deployment.config.report / 10, self._sample)
--- a/tests/test_both_versions.py
+++ b/tests/test_both_versions.py
@@ -7,7 +7,7 @@
 
 from spindleglade.runtime.clock import seconds
 from tests.deployment_config import DeploymentConfig
-from tests.faults import FAULTS, do
+from tests.generated_faults import FAULTS, inject
 from tests.pipelines import Pipelines, chain, diamond, fan_in
 from tests.simulated_deployment import SimulatedDeployment
 from tests.stored_tasks import Attempts, StoredTasks
@@ -32,14 +32,14 @@
     def begin(deployment):
         for index in ALL_NODES:
             if index in old:
-                deployment.versions[deployment.node_names[index]] = production()
-            deployment.start_node(index)
+                deployment.endpoints.versions[deployment.controller_names[index]] = production()
+            deployment.processes.start(index)
 
     deployment = SimulatedDeployment(seed, config=CONFIG, begin=begin, **named)
     StoredTasks(deployment)
     Attempts(deployment)
     deployment.run(seconds(3))
-    deployment.watch(deployment.submit(1, threads=LARGE, vcpus=1.0, mem_gb=0.1, run_s=12.0))
+    deployment.users.submit_and_poll(1, threads=LARGE, vcpus=1.0, mem_gb=0.1, run_s=12.0)
     return deployment
 
 
@@ -48,7 +48,7 @@
 
     def submit(number):
         rng = deployment.rng
-        job = deployment.submit(
+        job = deployment.users.submit(
             number,
             crew=rng.choice(["red", "blue"]),
             urgency=rng.choice(["critical", "high", "normal", "best_effort"]),
@@ -58,9 +58,9 @@
             run_s=rng.uniform(0.5, 6.0),
             knot_s=rng.choice([0.0, 2.0]),
         )
-        deployment.watch(job)
+        deployment.users.poll_until_over(job)
         if rng.random() < 0.2:
-            deployment.clock.later(seconds(rng.uniform(0.2, 6.0)), deployment.abort, job)
+            deployment.clock.later(seconds(rng.uniform(0.2, 6.0)), deployment.users.cancel, job)
 
     for at in range(count):
         deployment.clock.later(seconds(at * every), submit, first + at)
@@ -68,15 +68,17 @@
 
 def upgrade(deployment, index, away=1.5):
     """Ends the process; its successor runs this version."""
-    deployment.trouble(seconds(away))
-    deployment.kill_node(index)
-    deployment.versions.pop(deployment.node_names[index], None)
-    deployment.clock.later(seconds(away), deployment.start_once, index)
+    deployment.fault_window.extend(seconds(away))
+    deployment.processes.kill(index)
+    deployment.endpoints.versions.pop(deployment.controller_names[index], None)
+    deployment.clock.later(seconds(away), deployment.processes.start_unless_running, index)
 
 
 def old_nodes(deployment):
     """The controllers that run production, by their numbers."""
-    return [at for at, name in enumerate(deployment.node_names) if name in deployment.versions]
+    return [
+        at for at, name in enumerate(deployment.controller_names) if name in deployment.endpoints.versions
+    ]
 
 
 def leading_version(deployment):
@@ -84,7 +86,11 @@
     leader = deployment.leader()
     if leader is None:
         return None
-    return "production" if is_of_production(deployment.nodes[deployment.node_names[leader]]) else "current"
+    return (
+        "production"
+        if is_of_production(deployment.controllers[deployment.controller_names[leader]])
+        else "current"
+    )
 
 
 def finish_day(deployment):
@@ -93,10 +99,8 @@
     pipelines = Pipelines(deployment, 5000)
     for shape in (chain(4, late=True), diamond(), fan_in(4)):
         pipelines.begin(shape, threads=1, vcpus=1.0, mem_gb=0.1, run_s=2.0)
-    deployment.watch(
-        deployment.submit(6000, awaits=["job-000001"], threads=1, vcpus=1.0, mem_gb=0.1, run_s=1.0)
-    )
-    deployment.trouble(seconds(6))
+    deployment.users.submit_and_poll(6000, awaits=["job-000001"], threads=1, vcpus=1.0, mem_gb=0.1, run_s=1.0)
+    deployment.fault_window.extend(seconds(6))
     deployment.clock.later(seconds(2), lambda: deployment.state.lower_limits(**NEXT_LIMITS))
     pipelines.cancel_some(0.1, seconds(4))
     deployment.run(seconds(8))
@@ -113,8 +117,8 @@
     for number, index in enumerate(order):
         deployment.clock.later(seconds(4 + 4 * number), upgrade, deployment, index)
     # A process that dies before its turn comes back as it was.
-    deployment.clock.later(seconds(5), deployment.restart, order[2], seconds(0.5))
-    deployment.trouble(seconds(16))
+    deployment.clock.later(seconds(5), deployment.faults.restart, order[2], seconds(0.5))
+    deployment.fault_window.extend(seconds(16))
     deployment.run(seconds(18))
     assert leading_version(deployment) == "current"
     finish_day(deployment)
@@ -126,7 +130,7 @@
     leading = leading_version(deployment)
     old = set(old_nodes(deployment))
     for index in old if leading == "production" else set(ALL_NODES) - old:
-        deployment.restart(index, seconds(9))
+        deployment.faults.restart(index, seconds(9))
     for _ in range(90):
         deployment.run(seconds(0.1))
         if leading_version(deployment) not in (None, leading):
@@ -141,13 +145,13 @@
     stream(deployment, 90, 0.5)
     # Some of its tasks run at every handover.
     lasts = [4.0 + 3 * index for index in range(40)]
-    deployment.watch(deployment.submit(2, crew="blue", threads=40, vcpus=1.0, mem_gb=0.1, run_s=lasts))
+    deployment.users.submit_and_poll(2, crew="blue", threads=40, vcpus=1.0, mem_gb=0.1, run_s=lasts)
     deployment.run(seconds(12))
     for number in range(2):
         upgrade(deployment, (seed + number) % 3)
         deployment.run(seconds(3))
         for _ in range(4):
-            assert any(deployment.on.values())
+            assert any(deployment.executions.running_on.values())
             hand_over(deployment)
             deployment.run(seconds(2))
     deployment.run(seconds(9))
@@ -161,11 +165,11 @@
 def test_transactions_without_an_answer_between_the_versions(seed, which):
     deployment = begin_day(920 + seed)
     stream(deployment, 40, 0.5)
-    deployment.during(seconds(22), which, 0.25)
+    deployment.faults.during(seconds(22), which, 0.25)
     for number in range(3):
         deployment.clock.later(seconds(3 + 5 * number), upgrade, deployment, (seed + number) % 3)
         deployment.clock.later(
-            seconds(6 + 5 * number), lambda: deployment.restart(deployment.leader() or 0, seconds(0.4))
+            seconds(6 + 5 * number), lambda: deployment.faults.restart(deployment.leader() or 0, seconds(0.4))
         )
     deployment.run(seconds(26))
     assert deployment.counts["astray"] > 5
@@ -178,9 +182,9 @@
     deployment = begin_day(seed)
     stream(deployment, 30, 0.8)
     for kind, at, length, hold, pick in faults:
-        deployment.clock.later(seconds(at), do, deployment, kind, length, hold, pick)
+        deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
     for number, index in enumerate(order):
         deployment.clock.later(seconds(5 + 7 * number), upgrade, deployment, index)
-    deployment.trouble(seconds(26))
+    deployment.fault_window.extend(seconds(26))
     deployment.run(seconds(26))
     finish_day(deployment)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,7 +8,7 @@
 
 from spindleglade.runtime.clock import seconds
 from tests.fakes.encoding import encode
-from tests.faults import FAULTS, do
+from tests.generated_faults import FAULTS, inject
 from tests.production import HISTORY, JOBS, TASKS, VOUCHED, decode_record, split_chunk_key
 from tests.recorded_day import LARGE_ARRAY, RECORDED, recorded_deployment
 from tests.stored_tasks import PARTS, Attempts, StoredTasks
@@ -24,8 +24,8 @@
     deployment = recorded_deployment(seed, ANNOUNCED, nodes=(0, 1, 2))
     StoredTasks(deployment)
     Attempts(deployment)
-    for job in list(deployment.jobs):
-        deployment.watch(job)
+    for job in list(deployment.jobs.descriptions):
+        deployment.users.poll_until_over(job)
     for number in range(700, 706):
         deployment.clock.later(seconds(2 + (number - 700) * 2), submit_array, deployment, number)
     return deployment
@@ -33,11 +33,11 @@
 
 def submit_array(deployment, number):
     array = {"threads": 60, "vcpus": 1.0, "mem_gb": 0.1, "run_s": 3.0, "crew": "blue"}
-    deployment.watch(deployment.submit(number, **array))
+    deployment.users.submit_and_poll(number, **array)
 
 
 def lower(deployment, at):
-    deployment.trouble(seconds(at + 5))
+    deployment.fault_window.extend(seconds(at + 5))
     deployment.clock.later(seconds(at), lambda: deployment.state.lower_limits(**NEXT))
 
 
@@ -61,7 +61,7 @@
     deployment.run(seconds(30))
     assert deployment.counts["parts written"] > 3
     settle_day(deployment)
-    assert deployment.told[LARGE_ARRAY] == "done"
+    assert deployment.jobs.observed_states[LARGE_ARRAY] == "done"
     assert not any(
         key.startswith((TASKS + LARGE_ARRAY, PARTS + LARGE_ARRAY)) for key in deployment.state.keys
     )
@@ -71,7 +71,7 @@
 def test_leaders_change_while_chunks_are_moved(seed):
     deployment = begin_day(610 + seed)
     lower(deployment, 3.0)
-    deployment.clock.later(seconds(2.5), deployment.change_leaders, 8, seconds(16))
+    deployment.clock.later(seconds(2.5), deployment.faults.change_leaders, 8, seconds(16))
     deployment.run(seconds(30))
     assert deployment.counts["leaders"] > 3
     settle_day(deployment)
@@ -82,11 +82,12 @@
 def test_transactions_without_an_answer_while_chunks_are_moved(seed, which):
     deployment = begin_day(620 + seed)
     lower(deployment, 3.0)
-    deployment.during(seconds(15), which, 0.3)
+    deployment.faults.during(seconds(15), which, 0.3)
     for at in (5, 9):
         deployment.clock.later(
             seconds(at),
-            lambda: deployment.leader() is None or deployment.restart(deployment.leader(), seconds(1)),
+            deployment.faults.restart_leader,
+            seconds(1),
         )
     deployment.run(seconds(30))
     assert deployment.counts["astray"] > 5
@@ -97,9 +98,11 @@
 def test_an_outage_and_a_restart_of_all_while_chunks_are_moved(seed):
     deployment = begin_day(630 + seed)
     lower(deployment, 3.0)
-    deployment.clock.later(seconds(4), deployment.outage, seconds(3))
+    deployment.clock.later(seconds(4), deployment.faults.outage, seconds(3))
     for index in range(3):
-        deployment.clock.later(seconds(3.5 + index / 2), deployment.restart, index, seconds(1 + index / 2))
+        deployment.clock.later(
+            seconds(3.5 + index / 2), deployment.faults.restart, index, seconds(1 + index / 2)
+        )
     deployment.run(seconds(30))
     settle_day(deployment)
 
@@ -110,7 +113,7 @@
     deployment = begin_day(seed)
     lower(deployment, after)
     for kind, at, length, hold, pick in faults:
-        deployment.clock.later(seconds(at), do, deployment, kind, length, hold, pick)
+        deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
     deployment.run(seconds(24))
     settle_day(deployment)
 
@@ -119,10 +122,10 @@
 def test_a_job_of_production_is_cancelled_while_its_chunk_is_moved(seed):
     deployment = begin_day(640 + seed)
     lower(deployment, 3.0)
-    deployment.clock.later(seconds(3.3 + seed / 3), deployment.abort, LARGE_ARRAY)
+    deployment.clock.later(seconds(3.3 + seed / 3), deployment.users.cancel, LARGE_ARRAY)
     deployment.run(seconds(30))
     settle_day(deployment)
-    assert deployment.told[LARGE_ARRAY] == "aborted"
+    assert deployment.jobs.observed_states[LARGE_ARRAY] == "aborted"
 
 
 def test_the_leader_keeps_its_lease_at_the_new_rates():
@@ -148,7 +151,7 @@
         write(writes)
 
     deployment.state._write = note
-    deployment.watch(deployment.submit(720, threads=120, vcpus=1.0, mem_gb=0.1, run_s=3.0))
+    deployment.users.submit_and_poll(720, threads=120, vcpus=1.0, mem_gb=0.1, run_s=3.0)
     deployment.run(seconds(25))
     assert max(largest) <= NEXT["value_kb"] * 1024
     settle_day(deployment)
@@ -158,7 +161,7 @@
 def test_production_can_read_all_until_the_limits_fall(seed):
     """A process that dies before its turn comes back old, while the next limits are announced already."""
     deployment = begin_day(680 + seed)
-    deployment.change_leaders(3, seconds(12))
+    deployment.faults.change_leaders(3, seconds(12))
     for _ in range(30):
         deployment.run(seconds(0.5))
         for key, (value, _, _) in deployment.state.keys.items():
@@ -185,12 +188,12 @@
     deployment = begin_day(670 + seed)
     lower(deployment, 12.0)
     deployment.run(seconds(2))
-    first = [deployment.submit(800 + number, mem_gb=0.1, threads=1, run_s=0.5) for number in range(150)]
+    first = [deployment.users.submit(800 + number, mem_gb=0.1, threads=1, run_s=0.5) for number in range(150)]
     for job in first:
-        deployment.watch(job)
-    while not deployment.accepted >= set(first) and deployment.clock.now() < seconds(90):
+        deployment.users.poll_until_over(job)
+    while not deployment.jobs.accepted >= set(first) and deployment.clock.now() < seconds(90):
         deployment.run(seconds(0.5))
     for number in (2000, 2001):
-        deployment.watch(deployment.submit(number, mem_gb=0.1, threads=1, awaits=first, crew="blue"))
+        deployment.users.submit_and_poll(number, mem_gb=0.1, threads=1, awaits=first, crew="blue")
         deployment.run(seconds(10))
     settle_day(deployment)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -16,7 +16,7 @@
 from spindleglade.store.errors import NotAppliedError
 from spindleglade.workers.cluster_state import ClusterState
 from tests.deployment_config import DeploymentConfig
-from tests.faults import FAULTS, do
+from tests.generated_faults import FAULTS, inject
 from tests.invariants.liveness_invariants import LEADS_WITHIN, STARTS_WITHIN
 from tests.simulated_deployment import SimulatedDeployment
 
@@ -65,17 +65,17 @@
     deployment = SimulatedDeployment(31)
     deployment.expected_errors = ("",)
     deployment.run(seconds(5))
-    jobs = [deployment.submit(number, threads=2, run_s=2.0) for number in range(3)]
+    jobs = [deployment.users.submit(number, threads=2, run_s=2.0) for number in range(3)]
     for job in jobs:
-        deployment.watch(job)
+        deployment.users.poll_until_over(job)
     deployment.run(seconds(40))
-    assert {deployment.told[job] for job in jobs} == {"done"}
+    assert {deployment.jobs.observed_states[job] for job in jobs} == {"done"}
     # And what comes later is served as well, by machines that have to be rented anew.
     deployment.run(seconds(30))
-    late = deployment.submit(9, threads=2, run_s=2.0)
-    deployment.watch(late)
+    late = deployment.users.submit(9, threads=2, run_s=2.0)
+    deployment.users.poll_until_over(late)
     deployment.run(seconds(40))
-    assert deployment.told[late] == "done"
+    assert deployment.jobs.observed_states[late] == "done"
 
 
 GUARANTEED = {"name": "red", "cpus": 8.0, "cpus_max": 24.0}
@@ -89,11 +89,11 @@
     deployment = SimulatedDeployment(32, config=DeploymentConfig(teams=(team,)))
     deployment.cloud.no_spot = True
     deployment.run(seconds(2))
-    job = deployment.submit(1, threads=2, run_s=2.0, windfall=True, urgency="normal")
-    deployment.watch(job)
+    job = deployment.users.submit(1, threads=2, run_s=2.0, windfall=True, urgency="normal")
+    deployment.users.poll_until_over(job)
     deployment.run(STARTS_WITHIN)
     assert deployment.cloud.refused
-    assert deployment.told[job] == "done"
+    assert deployment.jobs.observed_states[job] == "done"
 
 
 @settings(max_examples=60, phases=[Phase.explicit, Phase.generate])
@@ -105,26 +105,30 @@
     st.booleans(),
 )
 def test_faults_in_the_first_seconds_leave_a_service_that_starts_work(seed, size, faults, starts, no_spot):
-    """Controllers begin in any order, some late, as faults strike; `LivenessRules` must hold after them."""
+    """Controllers begin in any order, some late, as faults strike; liveness must hold after them."""
 
     def begin(deployment: SimulatedDeployment) -> None:
         for index, at in enumerate(starts):
-            deployment.clock.later(seconds(at), deployment.start_once, index)
+            deployment.clock.later(seconds(at), deployment.processes.start_unless_running, index)
 
     deployment = SimulatedDeployment(seed, config=DeploymentConfig(capacity=size), begin=begin)
     deployment.cloud.no_spot = no_spot
     latest = max(at for _, at, _, _, _ in faults)
     for kind, at, length, hold, pick in faults:
         deployment.clock.later(
-            seconds(at * FIRST_FAULTS_S / latest), do, deployment, kind, length, hold, pick
+            seconds(at * FIRST_FAULTS_S / latest), inject, deployment, kind, length, hold, pick
         )
     for number in range(3):
-        deployment.clock.later(seconds(2.0 * number), deployment.submit, number)
+        deployment.clock.later(seconds(2.0 * number), deployment.users.submit, number)
     deployment.run(seconds(FIRST_FAULTS_S + 1))
-    deployment.run(max(deployment.calm - deployment.clock.now(), seconds(0)) + LEADS_WITHIN + STARTS_WITHIN)
-    assert deployment.accepted or deployment.asked_abort
-    if size and not deployment.asked_abort:
-        assert deployment.started
+    deployment.run(
+        max(deployment.fault_window.ends_at - deployment.clock.now(), seconds(0))
+        + LEADS_WITHIN
+        + STARTS_WITHIN
+    )
+    assert deployment.jobs.accepted or deployment.jobs.cancel_requested
+    if size and not deployment.jobs.cancel_requested:
+        assert deployment.executions.started
 
 
 @pytest.mark.parametrize("loop", ["recorder", "renting", "list of machines", "planning"])
@@ -135,7 +139,7 @@
     deployment = SimulatedDeployment(34)
     deployment.expected_errors = ("loop failed",)
     deployment.run(seconds(5))
-    stuck = deployment.nodes[deployment.node_names[deployment.leader()]].leader
+    stuck = deployment.leading_controller().leader
 
     def breaks_here(self, *args, **kwargs):
         autoscaler = stuck._autoscaler
@@ -144,10 +148,10 @@
         return method(self, *args, **kwargs)
 
     monkeypatch.setattr(owner, name, breaks_here)
-    job = deployment.submit(1, threads=2, run_s=2.0)
-    deployment.watch(job)
+    job = deployment.users.submit(1, threads=2, run_s=2.0)
+    deployment.users.poll_until_over(job)
     deployment.run(seconds(60))
-    assert deployment.told[job] == "done"
+    assert deployment.jobs.observed_states[job] == "done"
 
 
 def test_where_each_leader_breaks_leadership_does_not_go_round_in_circles(monkeypatch):
@@ -168,7 +172,7 @@
     caplog.set_level("INFO", "spindleglade.leadership")
     deployment = SimulatedDeployment(36, config=DeploymentConfig(capacity=0))
     deployment.run(seconds(2))
-    deployment.submit(1, threads=2)
+    deployment.users.submit(1, threads=2)
     deployment.run(seconds(30))
     lines = [record.getMessage() for record in caplog.records if "nothing started" in record.getMessage()]
     assert 4 <= len(lines) <= 6
@@ -183,7 +187,7 @@
     first = []
 
     async def fails_for_the_first(self, prefix):
-        leading = [node for node in deployment.nodes.values() if node.leader is not None]
+        leading = [node for node in deployment.controllers.values() if node.leader is not None]
         if leading and not first:
             first.append(leading[0].client)
         if first and self is first[0]:
@@ -192,7 +196,7 @@
 
     monkeypatch.setattr(StateClient, "read_all", fails_for_the_first)
     deployment.expected_errors = ("",)
-    deployment.trouble(seconds(45))
+    deployment.fault_window.extend(seconds(45))
     deployment.run(seconds(60))
     assert first and deployment.leader() is not None
-    assert deployment.nodes[deployment.node_names[deployment.leader()]].client is not first[0]
+    assert deployment.leading_controller().client is not first[0]
--- a/tests/test_pipeline_combined_faults.py
+++ b/tests/test_pipeline_combined_faults.py
@@ -37,15 +37,19 @@
     deployment, pipelines = ready(800 + seed)
     for shape in (chain(3), diamond(), fan_out(3), fan_in(3)):
         pipelines.begin(shape, **SMALL, crew="red", run_s=[9.0])
-    run_until(deployment, lambda: len(deployment.began) >= 6)
-    deployment.during(seconds(12), "cancel_at_end", 1.0)
-    begins = max(deployment.began.values()) + seconds(9) - seconds(before) - deployment.clock.now()
-    deployment.clock.later(max(begins, seconds(0)), deployment.gap, seconds(7), CANCEL + seconds(6))
+    run_until(deployment, lambda: len(deployment.executions.began_at) >= 6)
+    deployment.faults.during(seconds(12), "cancel_at_end", 1.0)
+    begins = (
+        max(deployment.executions.began_at.values()) + seconds(9) - seconds(before) - deployment.clock.now()
+    )
+    deployment.clock.later(
+        max(begins, seconds(0)), deployment.faults.refuse_leader_then_outage, seconds(7), CANCEL + seconds(6)
+    )
     deployment.run(seconds(20))
     assert deployment.counts["cancelled at its end"] >= 4
     pipelines.settle(seconds(150))
     # Where the outage came first the ends are on record before any cancellation can be.
-    assert ("aborted" in deployment.told.values()) == (before < 1)
+    assert ("aborted" in deployment.jobs.observed_states.values()) == (before < 1)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -54,38 +58,41 @@
     user, who repeats it elsewhere. Some of the jobs that it needs are cancelled meanwhile."""
     deployment, pipelines = ready(810 + seed)
     behind = seed % 3
-    name = deployment.node_names[behind]
+    name = deployment.controller_names[behind]
     sent = []
 
     def send_dependent(job):
         if job >= "job-700000":
             return
         dependent = f"job-7{len(sent):05d}"
-        deployment.jobs[dependent] = deployment.jobs[job] | {"ref": dependent, "awaits": [job]}
-        deployment.sent[dependent] = deployment.clock.now()
-        deployment.watch(dependent)
+        deployment.jobs.descriptions[dependent] = deployment.jobs.descriptions[job] | {
+            "ref": dependent,
+            "awaits": [job],
+        }
+        deployment.jobs.submitted_at[dependent] = deployment.clock.now()
+        deployment.users.poll_until_over(dependent)
         sent.append(dependent)
-        deployment.repeat(dependent, 40, name)
+        deployment.users.send_submission(dependent, 40, name)
         # What it answers in the next moments is lost.
-        deployment.clock.later(seconds(0.012), deployment.cut, "user", [name], False, seconds(1.2))
+        deployment.clock.later(seconds(0.012), deployment.network.cut, "user", [name], False, seconds(1.2))
         if len(sent) % 3 == 0:
             deployment.clock.later(
-                seconds(0.02), deployment.abort, job, 40, deployment.node_names[(behind + 1) % 3]
+                seconds(0.02), deployment.users.cancel, job, 40, deployment.controller_names[(behind + 1) % 3]
             )
 
-    deployment.when_accepted.append(send_dependent)
+    deployment.users.accepted_callbacks.append(send_dependent)
     for at in (0.2, 6.0, 11.0):
-        deployment.clock.later(seconds(at), deployment.refuse, behind, seconds(4))
+        deployment.clock.later(seconds(at), deployment.faults.refuse, behind, seconds(4))
     for number in range(16):
         deployment.clock.later(
-            seconds(number), lambda n=number: deployment.watch(deployment.submit(n, **SMALL, run_s=2.0))
+            seconds(number), lambda n=number: deployment.users.submit_and_poll(n, **SMALL, run_s=2.0)
         )
     deployment.run(seconds(20))
     assert len(sent) == 16
     pipelines.settle()
     # Each was accepted once; a repeat is answered by its state.
     assert deployment.counts["submission 200"] >= 3
-    assert [deployment.told[job] == "aborted" for job in sent] == [
+    assert [deployment.jobs.observed_states[job] == "aborted" for job in sent] == [
         deployment.dependencies.cancelled(job) for job in sent
     ]
 
@@ -94,11 +101,11 @@
 def test_all_nodes_are_asked_within_milliseconds_about_pipelines(seed):
     """After each thing that a user is told; a fifth of the jobs are cancelled then, while leaders change."""
     deployment, pipelines = ready(820 + seed)
-    deployment.during(seconds(26), "close_looks", True)
-    deployment.during(seconds(16), "cancels_at_once", 0.2)
-    deployment.during(seconds(20), "slow_store", seconds(0.2))
+    deployment.faults.during(seconds(26), "poll_everywhere", True)
+    deployment.faults.during(seconds(16), "cancel_at_once", 0.2)
+    deployment.faults.during(seconds(20), "slow_store", seconds(0.2))
     pipelines.stream(9, seconds(1.5))
-    deployment.clock.later(seconds(5), deployment.change_leaders, 3, seconds(10))
+    deployment.clock.later(seconds(5), deployment.faults.change_leaders, 3, seconds(10))
     deployment.run(seconds(26))
     assert deployment.counts["close looks"] > 30 and deployment.counts["leaders"] > 1
     pipelines.settle()
@@ -109,16 +116,18 @@
     """Every second transaction gets no answer, and the leader that sent them ends soon after."""
     deployment, pipelines = ready(830 + seed)
     begun = [pipelines.begin(shape, **SMALL, run_s=[4.0]) for shape in (chain(3), diamond(), fan_in(4))]
-    run_until(deployment, lambda: all(one.complete for one in begun) and len(deployment.began) >= 6)
-    deployment.during(seconds(14), "lost_answers", 0.5)
+    run_until(
+        deployment, lambda: all(one.complete for one in begun) and len(deployment.executions.began_at) >= 6
+    )
+    deployment.faults.during(seconds(14), "lost_answers", 0.5)
     for at in (4.2, 9.0):
         deployment.clock.later(
-            seconds(at), lambda: deployment.restart(deployment.leader() or 0, seconds(0.5))
+            seconds(at), lambda: deployment.faults.restart(deployment.leader() or 0, seconds(0.5))
         )
     deployment.run(seconds(16))
     assert deployment.counts["astray carried out"] > 5
     pipelines.settle()
-    assert set(deployment.told.values()) == {"done"}
+    assert set(deployment.jobs.observed_states.values()) == {"done"}
 
 
 @pytest.mark.parametrize("takeover", [None, 0.1, 1.0], ids=["", "taken over at once", "a second later"])
@@ -127,51 +136,55 @@
     """The job is released with every task of the array done, or cancelled with it, whoever leads then."""
     deployment, pipelines = ready(840)
     lasts = [6.0 + index / 20 for index in range(LARGE)]
-    array = deployment.submit(1, crew="blue", threads=LARGE, vcpus=0.5, mem_gb=0.1, run_s=lasts)
-    run_until(deployment, lambda: array in deployment.accepted)
-    last = deployment.submit(2, awaits=[array], **SMALL, run_s=[1.0])
+    array = deployment.users.submit(1, crew="blue", threads=LARGE, vcpus=0.5, mem_gb=0.1, run_s=lasts)
+    run_until(deployment, lambda: array in deployment.jobs.accepted)
+    last = deployment.users.submit(2, awaits=[array], **SMALL, run_s=[1.0])
     for job in (array, last):
-        deployment.watch(job)
-    run_until(deployment, lambda: sum(map(bool, deployment.on.values())) > 100)
-    deployment.trouble(seconds(4))
+        deployment.users.poll_until_over(job)
+    run_until(deployment, lambda: sum(map(bool, deployment.executions.running_on.values())) > 100)
+    deployment.fault_window.extend(seconds(4))
     deployment.state.lower_limits(**NEXT_LIMITS)
     if takeover is not None:
         deployment.clock.later(
-            seconds(takeover), lambda: deployment.restart(deployment.leader() or 0, seconds(0.3))
+            seconds(takeover), lambda: deployment.faults.restart(deployment.leader() or 0, seconds(0.3))
         )
     if cancelled:
-        deployment.clock.later(seconds(0.4), deployment.abort, array)
+        deployment.clock.later(seconds(0.4), deployment.users.cancel, array)
     deployment.run(seconds(6))
     pipelines.settle()
-    assert deployment.told[last] == ("aborted" if cancelled else "done")
+    assert deployment.jobs.observed_states[last] == ("aborted" if cancelled else "done")
 
 
 def test_a_job_with_a_thousand_descendants_is_cancelled_as_limits_fall_and_a_leader_takes_over():
     """Half of them need it directly, half through another. Nothing is written for them, so neither the lower
     rates nor a takeover delay what every node says of them."""
     deployment, pipelines = ready(850, rps=2000.0, write_rps=600.0)
-    first = deployment.submit(1, **SMALL, run_s=[60.0])
-    run_until(deployment, lambda: deployment.machines_of(first))
+    first = deployment.users.submit(1, **SMALL, run_s=[60.0])
+    run_until(deployment, lambda: deployment.executions.machines_of(first))
     numbers = range(1000, 2000)
     for number in numbers:
         needed = first if number < 1500 else f"job-{number - 500:06d}"
         at = seconds((number - 1000) / 100 + (2 if number >= 1500 else 0))
-        deployment.clock.later(at, lambda n=number, job=needed: deployment.submit(n, awaits=[job], **SMALL))
+        deployment.clock.later(
+            at, lambda n=number, job=needed: deployment.users.submit(n, awaits=[job], **SMALL)
+        )
     descendants = [f"job-{number:06d}" for number in numbers]
-    run_until(deployment, lambda: deployment.accepted >= set(descendants))
-    deployment.trouble(seconds(12))
+    run_until(deployment, lambda: deployment.jobs.accepted >= set(descendants))
+    deployment.fault_window.extend(seconds(12))
     deployment.state.lower_limits(**NEXT_LIMITS)
     changes = deployment.state.changes
-    deployment.abort(first)
-    deployment.clock.later(seconds(0.05), lambda: deployment.restart(deployment.leader() or 0, seconds(0.5)))
-    run_until(deployment, lambda: first in deployment.aborted_at, 5)
+    deployment.users.cancel(first)
+    deployment.clock.later(
+        seconds(0.05), lambda: deployment.faults.restart(deployment.leader() or 0, seconds(0.5))
+    )
+    run_until(deployment, lambda: first in deployment.jobs.cancelled_at, 5)
     deployment.run(seconds(12))
     sample = descendants[::25]
     answers = answers_everywhere(deployment, sample)
     assert {(status, body["stage"]) for status, body in answers.values()} == {(200, "aborted")}
-    assert not deployment.began.keys() & set(descendants)
+    assert not deployment.executions.began_at.keys() & set(descendants)
     assert deployment.state.changes - changes < 60
     for job in sample:
-        deployment.poll(job)
+        deployment.users.poll(job)
     deployment.run(seconds(2))
-    assert {deployment.told[job] for job in sample} == {"aborted"}
+    assert {deployment.jobs.observed_states[job] for job in sample} == {"aborted"}
--- a/tests/test_pipelines_after_roll.py
+++ b/tests/test_pipelines_after_roll.py
@@ -21,15 +21,17 @@
     deployment = recorded_deployment(seed, nodes=(0, 1, 2))
     StoredTasks(deployment)
     Attempts(deployment)
-    for job in list(deployment.jobs):
-        deployment.watch(job)
+    for job in list(deployment.jobs.descriptions):
+        deployment.users.poll_until_over(job)
     deployment.run(seconds(2))
     return deployment
 
 
 def recorded_job(deployment, stage):
     return next(
-        job for job in sorted(deployment.told) if job != LARGE_ARRAY and deployment.told[job] == stage
+        job
+        for job in sorted(deployment.jobs.observed_states)
+        if job != LARGE_ARRAY and deployment.jobs.observed_states[job] == stage
     )
 
 
@@ -37,31 +39,36 @@
 def test_jobs_may_name_what_production_accepted_in_any_state(seed):
     deployment = rolled_deployment(700 + seed)
     done, aborted, running = (recorded_job(deployment, stage) for stage in ("done", "aborted", "running"))
-    after_done = deployment.submit(801, awaits=[done], **SMALL)
-    after_aborted = deployment.submit(802, awaits=[done, aborted], **SMALL)
-    after_running = deployment.submit(803, awaits=[running, done], **SMALL)
-    after_array = deployment.submit(804, awaits=[LARGE_ARRAY], **SMALL)
+    after_done = deployment.users.submit(801, awaits=[done], **SMALL)
+    after_aborted = deployment.users.submit(802, awaits=[done, aborted], **SMALL)
+    after_running = deployment.users.submit(803, awaits=[running, done], **SMALL)
+    after_array = deployment.users.submit(804, awaits=[LARGE_ARRAY], **SMALL)
     for job in (after_done, after_aborted, after_running, after_array):
-        deployment.watch(job)
+        deployment.users.poll_until_over(job)
     deployment.run(seconds(3))
     stages = {
         job: body["stage"] for (_, job), (_, body) in answers_everywhere(deployment, [after_aborted]).items()
     }
     assert stages == {after_aborted: "aborted"}
     settle(deployment, 120.0)
-    assert [deployment.told[job] for job in (after_done, after_running, after_array)] == ["done"] * 3
-    assert deployment.told[after_aborted] == "aborted" and after_aborted not in deployment.began
+    assert [deployment.jobs.observed_states[job] for job in (after_done, after_running, after_array)] == [
+        "done"
+    ] * 3
+    assert (
+        deployment.jobs.observed_states[after_aborted] == "aborted"
+        and after_aborted not in deployment.executions.began_at
+    )
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_running_job_of_production_is_cancelled_with_all_after_it(seed):
     deployment = rolled_deployment(710 + seed)
-    job = deployment.submit(801, awaits=[LARGE_ARRAY], **SMALL)
-    deployment.watch(job)
+    job = deployment.users.submit(801, awaits=[LARGE_ARRAY], **SMALL)
+    deployment.users.poll_until_over(job)
     deployment.run(seconds(2))
-    deployment.abort(LARGE_ARRAY)
+    deployment.users.cancel(LARGE_ARRAY)
     deployment.run(seconds(3))
-    assert deployment.told[job] == "aborted"
+    assert deployment.jobs.observed_states[job] == "aborted"
     settle(deployment, 120.0)
 
 
@@ -72,7 +79,7 @@
     for shape in (chain(4, late=True), diamond(), fan_out(3)):
         pipelines.begin(shape, **SMALL)
     for index in range(3):
-        deployment.clock.later(seconds(2 + 3 * index), deployment.restart, index, seconds(1.5))
+        deployment.clock.later(seconds(2 + 3 * index), deployment.faults.restart, index, seconds(1.5))
     deployment.run(seconds(12))
     pipelines.settle(seconds(120))
 
@@ -86,16 +93,16 @@
     pipelines = Pipelines(deployment)
     pipeline = pipelines.begin(chain(4), **(SMALL | {"run_s": 3.0}))
     job = pipeline.job(place)
-    while not (pipeline.complete and deployment.machines_of(job)):
+    while not (pipeline.complete and deployment.executions.machines_of(job)):
         deployment.run(seconds(0.05))
     if stage == "aborted":
-        deployment.asked_abort.add(job)
+        deployment.jobs.cancel_requested.add(job)
     else:
-        while not deployment.is_complete(job):
+        while not deployment.executions.is_complete(job):
             deployment.run(seconds(0.01), seconds(0.01))
         assert deployment.state.keys[f"sg/job/{job}"][0]["stage"] == "open", "the leader was faster"
     ProductionWriter(deployment).end_job(job, stage)
     assert "dependencies" not in str(deployment.state.keys[f"sg/job/{job}"][0])
     pipelines.settle()
     expected = ["done"] * 4 if stage == "done" else ["done"] * place + ["aborted"] * (4 - place)
-    assert [deployment.told[one] for one in pipeline.jobs] == expected
+    assert [deployment.jobs.observed_states[one] for one in pipeline.jobs] == expected
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -21,6 +21,7 @@
     recorded_deployment,
 )
 from tests.simulated_deployment import SimulatedDeployment
+from tests.simulation.network import SimulatedNetwork
 from tests.versions import has_history
 
 STORE = read_store()
@@ -166,7 +167,7 @@
     """Runs until a leader has read everything, and gives it."""
     for _ in range(400):
         if deployment.leader() is not None:
-            return deployment.nodes[deployment.node_names[deployment.leader()]].leader
+            return deployment.leading_controller().leader
         deployment.run(seconds(0.05))
     raise AssertionError("nobody leads")
 
@@ -176,7 +177,7 @@
     deployment = recorded_deployment(seed, nodes=(1,))
     # Nothing of the machines comes through before the leader is looked at.
     machines = [worker.machine.address for worker in deployment.workers.values()]
-    deployment.cut(deployment.node_names[1], machines, False, seconds(3))
+    deployment.network.cut(deployment.controller_names[1], machines, False, seconds(3))
     jobs = leader_of(deployment).cluster.jobs
     open_jobs = recorded_jobs("open")
     for (job, number), chunk in recorded_chunks().items():
@@ -216,7 +217,7 @@
 # Production reads what the code as it stands writes, while the limits have not fallen.
 
 
-class NotingDeployment(SimulatedDeployment):
+class NotingNetwork(SimulatedNetwork):
     """Keeps the sibling messages that were sent, as bytes, and the values that were written to each key."""
 
     def __init__(self, *args, **named):
@@ -228,26 +229,32 @@
         self.sent_messages.append((message, msgspec.msgpack.encode(message)))
         return super().as_received(message, receiver)
 
-    def _serve(self, source, target, method, path, body):
+    def serve(self, source, target, method, path, body):
         if target == "state" and path == "/txn":
             writes = msgspec.json.decode(body)["writes"]
             self.written += [(write["set"], write["v"]) for write in writes if "set" in write]
-        return super()._serve(source, target, method, path, body)
+        return super().serve(source, target, method, path, body)
+
+
+class NotingDeployment(SimulatedDeployment):
+    """A deployment whose network notes what is sent."""
+
+    network_type = NotingNetwork
 
 
 def day_of_this_version():
     deployment = NotingDeployment(5, error=0.1, config=RECORDED)
     deployment.run(seconds(3))
     lasts = [1.0 + index % 20 for index in range(250)]
-    deployment.submit(1, threads=250, vcpus=1.0, mem_gb=0.1, run_s=lasts)
+    deployment.users.submit(1, threads=250, vcpus=1.0, mem_gb=0.1, run_s=lasts)
     for number in range(2, 12):
         deployment.clock.later(
-            seconds(number), lambda n=number: deployment.submit(n, crew="blue", mem_gb=0.1)
+            seconds(number), lambda n=number: deployment.users.submit(n, crew="blue", mem_gb=0.1)
         )
         if number % 4 == 0:
-            deployment.clock.later(seconds(number + 1.5), deployment.abort, f"job-{number:06d}")
+            deployment.clock.later(seconds(number + 1.5), deployment.users.cancel, f"job-{number:06d}")
     deployment.run(seconds(12))
-    deployment.refuse(((deployment.leader() or 0) + 1) % 3, seconds(4))
+    deployment.faults.refuse(((deployment.leader() or 0) + 1) % 3, seconds(4))
     deployment.run(seconds(8))
     return deployment
 
@@ -263,7 +270,7 @@
 
 
 def test_what_is_written_is_read_by_production():
-    written = the_day().written
+    written = the_day().network.written
     for prefix in (production.JOBS, production.TASKS, production.HISTORY, production.TYPES):
         assert any(key.startswith(prefix) for key, _ in written), prefix
     for key, value in written:
@@ -273,10 +280,10 @@
 
 def test_job_records_mean_the_same_to_production():
     deployment = the_day()
-    for key, value in deployment.written:
+    for key, value in deployment.network.written:
         if key.startswith(production.JOBS):
             record = production.decode_record(key, msgspec.json.encode(value))
-            job = deployment.jobs[record.spec.id]
+            job = deployment.jobs.descriptions[record.spec.id]
             assert production.job_key(job["ref"]) == key
             told = msgspec.json.decode(msgspec.json.encode(record.spec))
             assert told == {name: value for name, value in job.items() if name in told}
@@ -285,13 +292,13 @@
 
 def test_chunks_stand_where_production_looks_for_them():
     deployment = the_day()
-    for key, value in deployment.written:
+    for key, value in deployment.network.written:
         if key.startswith(production.TASKS):
             job, number = production.split_chunk_key(key)
             assert production.chunk_key(job, number) == key and number == 0
             chunk = production.decode_record(key, msgspec.json.encode(value))
             tasks = set(chunk.placed) | set(chunk.tried) | {last for _, last in chunk.done}
-            assert all(0 <= task < deployment.jobs[job]["threads"] for task in tasks)
+            assert all(0 <= task < deployment.jobs.descriptions[job]["threads"] for task in tasks)
             assert not set(chunk.placed) & set(chunk.tried)
             machines = {one.machine for one in chunk.placed.values()}
             assert machines <= deployment.workers.keys() and all(
@@ -300,7 +307,7 @@
 
 
 def test_sibling_messages_mean_the_same_to_production():
-    sent = the_day().sent_messages
+    sent = the_day().network.sent_messages
     assert {PRODUCTION_MESSAGES[type(message)] for message, _ in sent} >= {"Ping", "Relay", "Relayed"}
     for message, data in sent:
         assert_same_message(message, production.decode_message(data))
@@ -321,7 +328,7 @@
     more = value | {"later": [1], "spec": value["spec"] | {"awaits": ["job-000001"], "later": 1}}
     deployment.state._write([{"set": key, "v": more}])
     deployment.run(seconds(1))
-    deployment.asked_abort.add(body["ref"])
+    deployment.jobs.cancel_requested.add(body["ref"])
     ProductionWriter(deployment).end_job(body["ref"], stage)
     assert (
         "later" not in deployment.state.keys[key][0] and "later" not in deployment.state.keys[key][0]["spec"]
@@ -334,7 +341,7 @@
 def production_job(deployment, number):
     """A job that production accepts; no task of it starts, as it asks for a zone that there is not."""
     body = description(f"job-{number:06d}", {"vcpus": 16.0, "mem_gb": 32.0, "threads": 1, "glade": "none"})
-    deployment.jobs[body["ref"]] = body
+    deployment.jobs.descriptions[body["ref"]] = body
     ProductionWriter(deployment).accept(body, 254, deployment.clock.utc())
     deployment.run(seconds(1))
     return body
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -21,13 +21,13 @@
     deployment = recorded_deployment(seed)
     StoredTasks(deployment)
     Attempts(deployment)
-    for job in list(deployment.jobs):
-        deployment.watch(job)
+    for job in list(deployment.jobs.descriptions):
+        deployment.users.poll_until_over(job)
     writer = ProductionWriter(deployment)
     writer.keep_lease()
-    deployment.trouble(seconds(12))
-    deployment.clock.later(seconds(0.3), deployment.start_node, (OLD_LEADER + 1) % 3)
-    deployment.clock.later(seconds(3), deployment.start_node, (OLD_LEADER + 2) % 3)
+    deployment.fault_window.extend(seconds(12))
+    deployment.clock.later(seconds(0.3), deployment.processes.start, (OLD_LEADER + 1) % 3)
+    deployment.clock.later(seconds(3), deployment.processes.start, (OLD_LEADER + 2) % 3)
     for at in (0.5, 2, 3.2, 5):
         deployment.clock.later(seconds(at), lead_as_production, deployment, writer)
     return deployment, writer
@@ -37,23 +37,23 @@
     """What its leader and its users' nodes still write."""
     number = ACCEPTED_BY_PRODUCTION + int(deployment.clock.now().total_seconds() * 10) % 100
     body = description(f"job-{number:06d}", {"threads": 2, "mem_gb": 0.1, "awaits": None, "run_s": 2.0})
-    deployment.jobs[body["ref"]] = body
-    deployment.sent[body["ref"]] = deployment.clock.now()
+    deployment.jobs.descriptions[body["ref"]] = body
+    deployment.jobs.submitted_at[body["ref"]] = deployment.clock.now()
     writer.accept(body, 254, deployment.clock.utc())
-    deployment.watch(body["ref"])
+    deployment.users.poll_until_over(body["ref"])
     writer.count_attempt(LARGE_ARRAY, 0)
 
 
 def end_upgrade(deployment, writer):
     """The last process of production ends; its name comes back as this version."""
     writer.end()
-    deployment.start_node(OLD_LEADER)
+    deployment.processes.start(OLD_LEADER)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_jobs_of_production_go_on_and_end_after_the_roll(seed):
     deployment, writer = begin_upgrade(500 + seed)
-    recorded = dict(deployment.told)
+    recorded = dict(deployment.jobs.observed_states)
     deployment.run(seconds(7))
     assert deployment.leader() is None, "production still leads"
     end_upgrade(deployment, writer)
@@ -65,16 +65,18 @@
         stale.mod_revision = lambda key: 1
         stale.rewrite(production.chunk_key(LARGE_ARRAY, 0), lambda chunk: chunk)
     settle(deployment, 100.0)
-    assert sum(job >= f"job-{ACCEPTED_BY_PRODUCTION:06d}" for job in deployment.told) == 4
+    assert sum(job >= f"job-{ACCEPTED_BY_PRODUCTION:06d}" for job in deployment.jobs.observed_states) == 4
     for job, stage in recorded.items():
-        assert deployment.told[job] == (stage if stage in OVER else "done"), job
+        assert deployment.jobs.observed_states[job] == (stage if stage in OVER else "done"), job
     # What was done on record, or ran, was not run again by the new leader.
     chunk = production.decode_record("sg/task/", read_store().value(f"sg/task/{LARGE_ARRAY}/000000"))
     for first, last in chunk.done:
         for task in range(first, last + 1):
-            assert f"{LARGE_ARRAY}/{task}" in deployment.completed
-    for (_, job), (status, body) in answers_everywhere(deployment, sorted(deployment.jobs)).items():
-        assert (status, body["stage"]) == (200, deployment.told[job]), job
+            assert f"{LARGE_ARRAY}/{task}" in deployment.executions.completed
+    for (_, job), (status, body) in answers_everywhere(
+        deployment, sorted(deployment.jobs.descriptions)
+    ).items():
+        assert (status, body["stage"]) == (200, deployment.jobs.observed_states[job]), job
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -85,17 +87,25 @@
     cancelled = {
         placement.machine
         for entry in read_store().under(production.TASKS)
-        if deployment.told[production.split_chunk_key(entry.key)[0]] == "aborted"
+        if deployment.jobs.observed_states[production.split_chunk_key(entry.key)[0]] == "aborted"
         for placement in production.decode_record(entry.key, entry.value).placed.values()
     }
-    running = {task for task, machines in deployment.on.items() if machines and not machines & cancelled}
+    running = {
+        task
+        for task, machines in deployment.executions.running_on.items()
+        if machines and not machines & cancelled
+    }
     assert len(running) > 100
-    starts = dict(deployment.starts)
+    starts = dict(deployment.executions.start_counts)
     deployment.run(seconds(6))
     end_upgrade(deployment, writer)
     deployment.run(seconds(30))
-    assert len(running & deployment.completed) > 80
-    again = {task: deployment.starts[task] for task in running if deployment.starts[task] > starts[task]}
+    assert len(running & deployment.executions.completed) > 80
+    again = {
+        task: deployment.executions.start_counts[task]
+        for task in running
+        if deployment.executions.start_counts[task] > starts[task]
+    }
     assert not again
 
 
@@ -103,11 +113,11 @@
 @pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
 def test_transactions_without_an_answer_during_the_roll(seed, which):
     deployment, writer = begin_upgrade(520 + seed)
-    deployment.during(seconds(20), which, 0.3)
+    deployment.faults.during(seconds(20), which, 0.3)
     deployment.run(seconds(6))
     end_upgrade(deployment, writer)
     for index in range(3):
-        deployment.clock.later(seconds(4 + 4 * index), deployment.restart, index, seconds(1.5))
+        deployment.clock.later(seconds(4 + 4 * index), deployment.faults.restart, index, seconds(1.5))
     deployment.run(seconds(20))
     assert deployment.counts["astray"] > 3
     settle(deployment, 100.0)
@@ -121,5 +131,5 @@
     writer.end()
     deployment.run(seconds(10))
     assert deployment.leader() not in (None, OLD_LEADER)
-    deployment.start_node(OLD_LEADER)
+    deployment.processes.start(OLD_LEADER)
     settle(deployment, 100.0)
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -22,7 +22,9 @@
 def leader_terms(deployment):
     """The term of each controller that leads, by the controller's name."""
     return {
-        name: controller.leader.term for name, controller in deployment.nodes.items() if controller.is_leader
+        name: controller.leader.term
+        for name, controller in deployment.controllers.items()
+        if controller.is_leader
     }
 
 
@@ -33,36 +35,38 @@
     deployment.run(seconds(4))
     leader = deployment.leader()
     silent = leader if silence_leader else (leader + 1) % 3
-    long_jobs = [deployment.submit(number, threads=2, run_s=100.0) for number in range(3)]
+    long_jobs = [deployment.users.submit(number, threads=2, run_s=100.0) for number in range(3)]
     deployment.run(seconds(10))
     silent_since = deployment.clock.now()
-    deployment.silence_node(silent, SILENCE)
+    deployment.faults.silence(silent, SILENCE)
     for number in range(120):
         deployment.clock.later(
-            seconds(number / 2), lambda n=number: deployment.watch(deployment.submit(100 + n, threads=2))
+            seconds(number / 2), lambda n=number: deployment.users.submit_and_poll(100 + n, threads=2)
         )
     deployment.run(seconds(40))
     # The others serve: jobs submitted early enough are accepted, and their tasks have started.
     early_until = deployment.clock.now() - seconds(20)
-    early = [job for job, at in deployment.sent.items() if silent_since < at < early_until]
-    assert len(early) >= 30 and all(job in deployment.accepted and job in deployment.began for job in early)
+    early = [job for job, at in deployment.jobs.submitted_at.items() if silent_since < at < early_until]
+    assert len(early) >= 30 and all(
+        job in deployment.jobs.accepted and job in deployment.executions.began_at for job in early
+    )
     deployment.run(SILENCE - seconds(40) - seconds(1))
     # Once its silence is detected it is sent nothing but the heartbeats of one connection after the other.
     workers = sum(not worker.gone for worker in deployment.workers.values())
-    for (sender, kind), times in deployment.sent_to_silent.items():
+    for (sender, kind), times in deployment.network.sent_to_silent.items():
         late = [at for at in times if at > silent_since + DETECTION_LIMIT]
         allowed = SILENCE / HEARTBEAT_INTERVAL if kind is PeerHeartbeat else 0
         assert len(late) <= allowed, (sender, kind, late)
         # Until then a controller relays heartbeats as they come; each worker has one under way at a time.
         assert len(times) - len(late) <= workers * DETECTION_LIMIT.total_seconds() * 2
     terms = leader_terms(deployment)
-    others = {name: term for name, term in terms.items() if name != deployment.node_names[silent]}
+    others = {name: term for name, term in terms.items() if name != deployment.controller_names[silent]}
     assert len(others) == 1
     deployment.run(seconds(10))
     # Its return changes nothing by itself: the same controller leads in the same term.
     assert leader_terms(deployment) == others
     settle(deployment, 120.0)
-    assert all(deployment.told[job] == "done" for job in long_jobs)
+    assert all(deployment.jobs.observed_states[job] == "done" for job in long_jobs)
 
 
 def test_a_request_is_forwarded_to_the_peer_with_the_latest_message_first():
@@ -70,10 +74,10 @@
     forwarded over it would wait for a second before the next peer is tried."""
     deployment = SimulatedDeployment(310)
     deployment.run(seconds(4))
-    refused = deployment.nodes[deployment.node_names[(deployment.leader() + 1) % 3]]
+    refused = deployment.controllers[deployment.controller_names[(deployment.leader() + 1) % 3]]
     silent_peer = refused.peers.connections[0].peer.name
-    deployment.refused.add(refused._platform.name)
-    deployment.silence_node(deployment.node_names.index(silent_peer), seconds(10))
+    deployment.network.refused_by_store.add(refused._platform.name)
+    deployment.faults.silence(deployment.controller_names.index(silent_peer), seconds(10))
     deployment.run(seconds(0.8))
     assert refused.peers.connections[0].is_up
     responses = []
--- a/tests/test_simulated_deployment.py
+++ b/tests/test_simulated_deployment.py
@@ -6,7 +6,7 @@
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import seconds
 from tests.fakes.encoding import encode
-from tests.faults import FAULTS, do
+from tests.generated_faults import FAULTS, inject
 from tests.simulated_deployment import SimulatedDeployment
 
 JOBS = st.lists(
@@ -41,39 +41,46 @@
             fields["scatter"] = False
         if fields["together"]:
             fields["scatter"] = False
-        deployment.clock.later(seconds(job["at"]), lambda n=number, f=fields: deployment.submit(n, **f))
+        deployment.clock.later(seconds(job["at"]), lambda n=number, f=fields: deployment.users.submit(n, **f))
         if job["abort_after"] is not None:
             at = seconds(job["at"] + job["abort_after"])
-            deployment.clock.later(at, deployment.abort, f"job-{number:06d}")
+            deployment.clock.later(at, deployment.users.cancel, f"job-{number:06d}")
     for kind, at, length, hold, pick in faults:
-        deployment.clock.later(seconds(at), do, deployment, kind, length, hold, pick)
+        deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
 
     def poll():
         for number in [*range(len(jobs)), 999_999]:
-            deployment.poll(f"job-{number:06d}")
+            deployment.users.poll(f"job-{number:06d}")
         deployment.clock.later(seconds(1.3), poll)
 
     poll()
     # The latest trouble has begun by then; what they leave behind is told by the deployment.
     deployment.run(seconds(24))
-    deployment.run(max(seconds(46), deployment.calm + seconds(40) - deployment.clock.now()))
-    if any(deployment.told[job] not in ("done", "aborted") for job in deployment.accepted):
+    deployment.run(max(seconds(46), deployment.fault_window.ends_at + seconds(40) - deployment.clock.now()))
+    if any(
+        deployment.jobs.observed_states[job] not in ("done", "aborted") for job in deployment.jobs.accepted
+    ):
         # There may be more work than a team's limit lets through by then.
         deployment.run(max(map(deployment.service.work, ("red", "blue"))))
     # All is healthy again by now: what was accepted has run, and users are told so, each of them.
-    for job in deployment.accepted:
-        assert deployment.told[job] in ("done", "aborted"), (job, deployment.told[job])
-        assert deployment.clock.now() - deployment.answered[job] < seconds(10), job
-    assert deployment.accepted
+    for job in deployment.jobs.accepted:
+        assert deployment.jobs.observed_states[job] in ("done", "aborted"), (
+            job,
+            deployment.jobs.observed_states[job],
+        )
+        assert deployment.clock.now() - deployment.jobs.answered_at[job] < seconds(10), job
+    assert deployment.jobs.accepted
 
 
 def answered_everywhere(deployment, jobs):
     """Which of the jobs each node answers, asked straight."""
-    got = {(name, job): 0 for name in deployment.nodes for job in jobs}
+    got = {(name, job): 0 for name in deployment.controllers for job in jobs}
     for name, job in got:
 
         async def ask(name=name, job=job):
-            got[(name, job)] = (await deployment.nodes[name].handle("GET", f"/submissions/{job}", b"")).status
+            got[(name, job)] = (
+                await deployment.controllers[name].handle("GET", f"/submissions/{job}", b"")
+            ).status
 
         run_in_background(ask(), "asking")
     deployment.run(seconds(2))
@@ -85,20 +92,20 @@
     store refuses whoever asks too often. Each job is asked for by itself, at each node."""
     deployment = SimulatedDeployment(21)
     deployment.run(seconds(3))
-    jobs = [deployment.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150)]
+    jobs = [deployment.users.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150)]
     deployment.run(seconds(8))
     # One node misses more than the store remembers.
     deployment.state.kept = 5
-    deployment.refused.add("node-1")
-    jobs += [deployment.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150, 300)]
+    deployment.network.refused_by_store.add("node-1")
+    jobs += [deployment.users.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150, 300)]
     deployment.run(seconds(8))
-    deployment.refused.clear()
-    assert deployment.accepted == set(jobs)
+    deployment.network.refused_by_store.clear()
+    assert deployment.jobs.accepted == set(jobs)
     deployment.run(seconds(4))
     assert set(answered_everywhere(deployment, jobs).values()) == {200}
     deployment.state.outage(seconds(5))
     for at in range(3):
-        deployment.restart(at, seconds(0.2 + at))
+        deployment.faults.restart(at, seconds(0.2 + at))
     deployment.run(seconds(15))
     got = answered_everywhere(deployment, jobs)
     assert set(got.values()) == {200} and len(got) == 900
@@ -109,17 +116,17 @@
     task again after each lost lease, and the task waited there."""
     deployment = SimulatedDeployment(22, capacity=2)
     deployment.run(seconds(3))
-    deployment.submit(1, threads=2, vcpus=5.0, run_s=2.0)
-    while len(deployment.completed) < 2:
+    deployment.users.submit(1, threads=2, vcpus=5.0, run_s=2.0)
+    while len(deployment.executions.completed) < 2:
         deployment.run(seconds(1))
     first = min(deployment.workers)
-    deployment.not_receiving.add(deployment.workers[first].machine.address)
-    job = deployment.submit(2, threads=3, vcpus=5.0, run_s=2.0)
+    deployment.network.unreachable.add(deployment.workers[first].machine.address)
+    job = deployment.users.submit(2, threads=3, vcpus=5.0, run_s=2.0)
     deployment.run(seconds(25))
-    deployment.poll(job)
+    deployment.users.poll(job)
     deployment.run(seconds(1))
-    assert deployment.told[job] == "done"
-    cluster = deployment.nodes[deployment.node_names[deployment.leader()]].leader.cluster
+    assert deployment.jobs.observed_states[job] == "done"
+    cluster = deployment.leading_controller().leader.cluster
     assert first not in cluster.machines or cluster.machines[first].unreachable_since is not None
     assert first not in cluster.machines or not cluster.machines[first].placed
 
@@ -130,14 +137,16 @@
     near = (leader + 1) % 3
     worker = deployment.workers[machine.partition(":")[0]]
     # The node tells by a worker from another zone that it is cut off alone.
-    other = "a" if deployment.nodes[deployment.node_names[near]]._platform.zone == "b" else "b"
+    other = "a" if deployment.controllers[deployment.controller_names[near]]._platform.zone == "b" else "b"
     worker.machine.zone = other
     worker.at = near
-    deployment.cut(deployment.node_names[near], [*deployment.node_names, "state"], False, seconds(30))
+    deployment.network.cut(
+        deployment.controller_names[near], [*deployment.controller_names, "state"], False, seconds(30)
+    )
     deployment.run(seconds(8))
     assert worker.at != near
     deployment.run(seconds(50))
-    assert deployment.started == 1 and len(deployment.completed) == 1
+    assert deployment.executions.started == 1 and len(deployment.executions.completed) == 1
 
 
 def test_a_copy_of_a_start_after_a_cancellation_starts_nothing():
@@ -146,62 +155,66 @@
     deployment, machine, leader = busy_deployment(24)
     worker = deployment.workers[machine.partition(":")[0]]
     ((task, attempt),) = worker.tasks
-    deployment.abort("job-000001")
+    deployment.users.cancel("job-000001")
     deployment.run(seconds(8))
     order = {"verb": "start", "thread": task, "try": attempt}
     worker.handle(
         "POST", "/orders", encode({"baton": worker.token, "spin": worker.session, "orders": [order]})
     )
     deployment.run(seconds(3))
-    assert not any(deployment.on.values()) and deployment.started == 1
+    assert not any(deployment.executions.running_on.values()) and deployment.executions.started == 1
 
 
 def test_a_quiet_day_is_done_quickly():
     deployment = SimulatedDeployment(1)
     deployment.run(seconds(3))
-    jobs = [deployment.submit(number, threads=3, run_s=2.0) for number in range(3)]
+    jobs = [deployment.users.submit(number, threads=3, run_s=2.0) for number in range(3)]
     deployment.run(seconds(25))
     for job in jobs:
-        deployment.poll(job)
+        deployment.users.poll(job)
     deployment.run(seconds(1))
-    assert [deployment.told[job] for job in jobs] == ["done"] * 3
+    assert [deployment.jobs.observed_states[job] for job in jobs] == ["done"] * 3
 
 
 def busy_deployment(seed, run_s=40.0):
     """A deployment with one long task running, its machine's address and the leader's index."""
     deployment = SimulatedDeployment(seed)
     deployment.run(seconds(3))
-    deployment.submit(1, threads=1, run_s=run_s)
-    while not deployment.started and deployment.clock.now() < seconds(60):
+    deployment.users.submit(1, threads=1, run_s=run_s)
+    while not deployment.executions.started and deployment.clock.now() < seconds(60):
         deployment.run(seconds(1))
     deployment.run(seconds(3))
-    (machine,) = [name for names in deployment.on.values() for name in names]
+    (machine,) = [name for names in deployment.executions.running_on.values() for name in names]
     return deployment, deployment.workers[machine].machine.address, deployment.leader()
 
 
 def test_a_leader_cut_off_from_all_but_the_store_makes_room():
     """It used to lead on, and would have released every machine once their leases had passed."""
     deployment, machine, leader = busy_deployment(11)
-    everyone = [worker.machine.address for worker in deployment.workers.values()] + deployment.node_names
-    deployment.cut(deployment.node_names[leader], everyone, False, seconds(15))
+    everyone = [
+        worker.machine.address for worker in deployment.workers.values()
+    ] + deployment.controller_names
+    deployment.network.cut(deployment.controller_names[leader], everyone, False, seconds(15))
     deployment.run(seconds(12))
     assert deployment.leader() not in (None, leader)
     deployment.run(seconds(60))
-    assert deployment.started == 1 and len(deployment.completed) == 1
+    assert deployment.executions.started == 1 and len(deployment.executions.completed) == 1
 
 
 def test_a_leader_that_stood_still_gives_back_nothing():
     """When it goes on it has heard of no machine for longer than any lease, and of no successor either; it
     once gave back the whole fleet, which its successor was using."""
     deployment, machine, leader = busy_deployment(14, run_s=80.0)
-    deployment.freeze_node(leader, seconds(20))
+    deployment.faults.freeze(leader, seconds(20))
     deployment.run(seconds(19))
     assert any(
-        node.is_leader for name, node in deployment.nodes.items() if name != deployment.node_names[leader]
+        node.is_leader
+        for name, node in deployment.controllers.items()
+        if name != deployment.controller_names[leader]
     )
-    assert not deployment.completed
+    assert not deployment.executions.completed
     deployment.run(seconds(110))
-    assert deployment.started == 1 and len(deployment.completed) == 1
+    assert deployment.executions.started == 1 and len(deployment.executions.completed) == 1
 
 
 def test_a_leader_that_machines_do_not_hear_makes_room():
@@ -209,35 +222,35 @@
     nothing was placed for as long as that lasted."""
     deployment = SimulatedDeployment(15, capacity=8)
     deployment.run(seconds(3))
-    deployment.submit(1, threads=12, vcpus=5.0, run_s=40.0, crew="red")
-    deployment.submit(2, threads=12, vcpus=5.0, run_s=40.0, crew="blue")
+    deployment.users.submit(1, threads=12, vcpus=5.0, run_s=40.0, crew="red")
+    deployment.users.submit(2, threads=12, vcpus=5.0, run_s=40.0, crew="blue")
     deployment.run(seconds(20))
     leader = deployment.leader()
     machines = [worker.machine.address for worker in deployment.workers.values() if not worker.gone]
     assert len(machines) >= 6
-    deployment.cut(deployment.node_names[leader], machines, True, seconds(30))
-    job = deployment.submit(3, threads=6, vcpus=1.0, run_s=1.0, urgency="critical")
+    deployment.network.cut(deployment.controller_names[leader], machines, True, seconds(30))
+    job = deployment.users.submit(3, threads=6, vcpus=1.0, run_s=1.0, urgency="critical")
     deployment.run(seconds(12))
     assert deployment.leader() not in (None, leader)
-    deployment.poll(job)
+    deployment.users.poll(job)
     deployment.run(seconds(1))
-    assert deployment.told[job] == "done"
+    assert deployment.jobs.observed_states[job] == "done"
 
 
 def test_machines_of_nodes_that_cannot_reach_the_leader_are_used():
     """The links between nodes are refused, and only the store tells the leader that those machines live."""
     deployment = SimulatedDeployment(16, capacity=8)
     deployment.run(seconds(3))
-    deployment.submit(1, threads=4, vcpus=5.0, run_s=1.0)
+    deployment.users.submit(1, threads=4, vcpus=5.0, run_s=1.0)
     deployment.run(seconds(10))
-    names, leader = deployment.node_names, deployment.leader()
+    names, leader = deployment.controller_names, deployment.leader()
     for worker in deployment.workers.values():
         worker.at = (leader + 1) % 3
     for name in names:
-        deployment.cut(name, names, False, seconds(20))
+        deployment.network.cut(name, names, False, seconds(20))
     deployment.run(seconds(8))
     assert deployment.leader() == leader
-    leader = deployment.nodes[names[leader]].leader
+    leader = deployment.controllers[names[leader]].leader
     now = leader._clock.now()
     assert leader.cluster.machines
     assert all(leader.cluster.is_usable(machine, now) for machine in leader.cluster.machines.values())
@@ -246,72 +259,74 @@
 def test_a_task_behind_a_cut_with_one_node_runs_on():
     """That node cannot reach the leader; it renews the lease itself and vouches through the store."""
     deployment, machine, leader = busy_deployment(12)
-    near = deployment.node_names[(leader + 1) % 3]
-    others = [name for name in deployment.node_names if name != near]
+    near = deployment.controller_names[(leader + 1) % 3]
+    others = [name for name in deployment.controller_names if name != near]
     deployment.workers[machine.partition(":")[0]].at = (leader + 1) % 3
     deployment.run(seconds(3))
-    deployment.cut(near, others, False, seconds(15))
-    deployment.cut(machine, others, False, seconds(15))
+    deployment.network.cut(near, others, False, seconds(15))
+    deployment.network.cut(machine, others, False, seconds(15))
     deployment.run(seconds(60))
-    assert deployment.started == 1 and len(deployment.completed) == 1
-    deployment.poll("job-000001")
+    assert deployment.executions.started == 1 and len(deployment.executions.completed) == 1
+    deployment.users.poll("job-000001")
     deployment.run(seconds(1))
-    assert deployment.told["job-000001"] == "done"
+    assert deployment.jobs.observed_states["job-000001"] == "done"
 
 
 def test_a_node_that_the_store_refuses_still_finds_the_new_leader():
     """The old leader, refused by the store alone, saw no other elected; it renewed its workers' leases by
     itself, and the new leader gave up 46 machines as silent."""
     deployment, machine, leader = busy_deployment(17)
-    old = deployment.node_names[leader]
+    old = deployment.controller_names[leader]
     worker = deployment.workers[machine.partition(":")[0]]
     worker.at = leader
-    deployment.refused.add(old)
+    deployment.network.refused_by_store.add(old)
     deployment.run(seconds(5))
     new = deployment.leader()
     assert new not in (None, leader) and worker.at == leader
     deployment.run(seconds(8))
     heard = (
-        deployment.nodes[deployment.node_names[new]]
+        deployment.controllers[deployment.controller_names[new]]
         .leader.cluster.machines[worker.machine.name]
         .last_heartbeat_at
     )
-    assert deployment.nodes[deployment.node_names[new]]._clock.now() - heard < seconds(2)
-    deployment.refused.clear()
+    assert deployment.controllers[deployment.controller_names[new]]._clock.now() - heard < seconds(2)
+    deployment.network.refused_by_store.clear()
     deployment.run(seconds(60))
-    assert deployment.started == 1 and len(deployment.completed) == 1
+    assert deployment.executions.started == 1 and len(deployment.executions.completed) == 1
 
 
 def test_leases_outlive_an_outage_of_the_store():
     deployment, machine, leader = busy_deployment(13)
     deployment.state.outage(seconds(10))
     deployment.run(seconds(60))
-    assert deployment.started == 1 and len(deployment.completed) == 1
+    assert deployment.executions.started == 1 and len(deployment.executions.completed) == 1
 
 
 def test_a_cancellation_ends_work_behind_a_cut_in_time():
     """The node beside the task is cut off from the store as well and cannot know of the abort; its renewals
     must end early enough for the lease to run out within `cancel_s`."""
     deployment, machine, leader = busy_deployment(14)
-    near = deployment.node_names[(leader + 1) % 3]
-    others = [name for name in deployment.node_names if name != near]
+    near = deployment.controller_names[(leader + 1) % 3]
+    others = [name for name in deployment.controller_names if name != near]
     deployment.workers[machine.partition(":")[0]].at = (leader + 1) % 3
     deployment.run(seconds(3))
-    deployment.cut(near, [*others, "state"], False, seconds(60))
-    deployment.cut(machine, others, False, seconds(60))
+    deployment.network.cut(near, [*others, "state"], False, seconds(60))
+    deployment.network.cut(machine, others, False, seconds(60))
     deployment.cloud.trouble = True
     deployment.run(seconds(1))
-    deployment.abort("job-000001")
+    deployment.users.cancel("job-000001")
     # SimulatedDeployment.run fails if the task is still on its machine after `cancel_s`.
     deployment.run(seconds(40))
-    assert "job-000001" in deployment.aborted_at
+    assert "job-000001" in deployment.jobs.cancelled_at
 
 
 def test_the_largest_job_is_taken_started_and_aborted():
     deployment = SimulatedDeployment(16)
-    job = deployment.submit(1, threads=100_000, vcpus=1.0, mem_gb=1.0, run_s=2.0)
+    job = deployment.users.submit(1, threads=100_000, vcpus=1.0, mem_gb=1.0, run_s=2.0)
     deployment.run(seconds(25))
-    assert deployment.told[job] == "pending" and deployment.started > 20
-    deployment.abort(job)
+    assert deployment.jobs.observed_states[job] == "pending" and deployment.executions.started > 20
+    deployment.users.cancel(job)
     deployment.run(seconds(25))
-    assert deployment.told[job] == "aborted" and not any(deployment.on.values())
+    assert deployment.jobs.observed_states[job] == "aborted" and not any(
+        deployment.executions.running_on.values()
+    )
--- a/tests/test_smaller_values.py
+++ b/tests/test_smaller_values.py
@@ -1,7 +1,5 @@
 """Values that could outgrow the smaller limit: vouching, the teams' histories, and a long record of a job."""
 
-from dataclasses import replace
-
 from spindleglade.runtime.clock import seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.operator import BackfillSettings
@@ -30,17 +28,17 @@
     deployment = SimulatedDeployment(51, config=fleet)
     deployment.cloud.never_up = 0.0
     deployment.run(seconds(3))
-    deployment.submit(1, threads=MANY, vcpus=8.0, mem_gb=0.1, run_s=200.0, reckon_s=200.0)
-    while deployment.started < MANY:
+    deployment.users.submit(1, threads=MANY, vcpus=8.0, mem_gb=0.1, run_s=200.0, reckon_s=200.0)
+    while deployment.executions.started < MANY:
         deployment.run(seconds(1))
-    near = deployment.node_names[(deployment.leader() + 1) % 3]
-    others = [name for name in deployment.node_names if name != near]
+    near = deployment.controller_names[(deployment.leader() + 1) % 3]
+    others = [name for name in deployment.controller_names if name != near]
     machines = [worker.machine.address for worker in deployment.workers.values()]
     for worker in deployment.workers.values():
-        worker.at = deployment.node_names.index(near)
+        worker.at = deployment.controller_names.index(near)
     deployment.run(seconds(2))
     for name in others:
-        deployment.cut(name, [*machines, near], False, seconds(20))
+        deployment.network.cut(name, [*machines, near], False, seconds(20))
     # Long enough for the first values, and then for machines that nobody vouches for to be given up.
     deployment.run(seconds(6))
     vouched = sizes(deployment, f"{LEASE_RENEWALS}{near}/")
@@ -58,10 +56,10 @@
     deployment = SimulatedDeployment(52, settings=fine, config=DeploymentConfig(next_limits=SMALL))
     deployment.state.lower_limits(**SMALL)
     deployment.run(seconds(3))
-    job = deployment.submit(1, threads=2, run_s=2.0)
-    deployment.watch(job)
+    job = deployment.users.submit(1, threads=2, run_s=2.0)
+    deployment.users.poll_until_over(job)
     deployment.run(seconds(40))
-    assert deployment.told[job] == "done"
+    assert deployment.jobs.observed_states[job] == "done"
     assert not sizes(deployment, HISTORY) and not deployment.state.too_large
 
 
@@ -70,18 +68,18 @@
     deployment = SimulatedDeployment(53, config=DeploymentConfig())
     deployment.run(seconds(3))
     long_list = ["m8", *(f"{number:03d}" + "x" * 300 for number in range(20))]
-    job = deployment.submit(1, threads=1, run_s=12.0, frames=long_list)
-    deployment.watch(job)
-    while not deployment.started:
+    job = deployment.users.submit(1, threads=1, run_s=12.0, frames=long_list)
+    deployment.users.poll_until_over(job)
+    while not deployment.executions.started:
         deployment.run(seconds(0.5))
     assert sizes(deployment, JOBS)[JOBS + job] > MOST_BYTES
-    deployment.at = replace(deployment.at, next_limits=SMALL)
+    deployment.processes.announce_limits(SMALL)
     for index in range(3):
-        deployment.restart(index, seconds(0.5))
+        deployment.faults.restart(index, seconds(0.5))
     deployment.run(seconds(2))
     deployment.state.lower_limits(**SMALL)
     deployment.run(seconds(40))
-    assert deployment.told[job] == "done"
+    assert deployment.jobs.observed_states[job] == "done"
     assert sizes(deployment, JOBS)[JOBS + job] <= MOST_BYTES
     refused = deployment.state.too_large
     assert len(set(refused)) == len(refused)
--- a/tests/test_whole_fleet.py
+++ b/tests/test_whole_fleet.py
@@ -48,14 +48,14 @@
         fields = CLASSES[name] | {"bobbin": name, "crew": team}
         if large:
             fields["threads"] *= 4
-        job = self.deployment.submit(number, **fields)
+        job = self.deployment.users.submit(number, **fields)
         self.jobs[job] = (name, team, large)
         self.poll(job)
 
     def poll(self, job: str) -> None:
         """Like a user: every few seconds until it is done."""
-        if self.deployment.told.get(job) != "done":
-            self.deployment.poll(job)
+        if self.deployment.jobs.observed_states.get(job) != "done":
+            self.deployment.users.poll(job)
             self.deployment.clock.later(seconds(5), self.poll, job)
 
     def restart_everything(self) -> None:
@@ -63,29 +63,29 @@
         machines are lost without notice at the same time."""
         deployment = self.deployment
         for at, (ends, back) in enumerate(((0.0, 4.0), (1.0, 0.2), (2.5, 3.0))):
-            deployment.clock.later(seconds(ends), deployment.kill_node, at)
-            deployment.clock.later(seconds(ends + back), deployment.start_node, at)
+            deployment.clock.later(seconds(ends), deployment.processes.kill, at)
+            deployment.clock.later(seconds(ends + back), deployment.processes.start, at)
         for name in sorted(deployment.workers)[: MACHINES // 5]:
-            deployment.kill_machine(name)
+            deployment.faults.kill_machine(name)
 
     def cut_zone(self) -> None:
         deployment = self.deployment
-        inside = [name for name, node in deployment.nodes.items() if node._platform.zone == "b"]
-        outside = [name for name in deployment.nodes if name not in inside]
+        inside = [name for name, node in deployment.controllers.items() if node._platform.zone == "b"]
+        outside = [name for name in deployment.controllers if name not in inside]
         length = LAST_TROUBLE - deployment.clock.now()
         machines = [w.machine.address for w in deployment.workers.values() if w.machine.zone == "b"]
         assert inside and len(machines) > MACHINES // 4
         for name in outside:
-            deployment.cut(name, machines + inside, True, length)
+            deployment.network.cut(name, machines + inside, True, length)
         for name in inside:
-            deployment.cut(name, ["state", "cloud", "user"], True, length)
+            deployment.network.cut(name, ["state", "cloud", "user"], True, length)
 
     def shares(self, key: int) -> dict:
         """By class, team or size: how much of its jobs is done."""
         found: dict = {}
         for job, of in self.jobs.items():
             found.setdefault(of[key] if key < 2 else (of[0], of[2]), []).append(
-                self.deployment.told.get(job) == "done"
+                self.deployment.jobs.observed_states.get(job) == "done"
             )
         return {name: sum(done) / len(done) for name, done in found.items()}
 
@@ -97,17 +97,22 @@
     deployment.run(LAST_TROUBLE + seconds(75), timedelta(milliseconds=200))
     assert len(day.jobs) == 100
     for job in day.jobs:
-        assert job in deployment.accepted
-        answered = deployment.answered.get(job, timedelta(0))
-        assert answered > LAST_TROUBLE or deployment.told.get(job) == "done", f"{job} is forgotten"
+        assert job in deployment.jobs.accepted
+        answered = deployment.jobs.answered_at.get(job, timedelta(0))
+        assert answered > LAST_TROUBLE or deployment.jobs.observed_states.get(job) == "done", (
+            f"{job} is forgotten"
+        )
     assert set(day.shares(0)) == set(CLASSES) and min(day.shares(0).values()) >= 0.5
     assert len(day.shares(1)) == len(TEAMS) and min(day.shares(1).values()) >= 0.5
     assert len(day.shares(2)) == 2 * len(CLASSES) and min(day.shares(2).values()) >= 0.5
-    waits = [deployment.began.get(job, seconds(1e6)) - deployment.sent[job] for job in day.jobs]
+    waits = [
+        deployment.executions.began_at.get(job, seconds(1e6)) - deployment.jobs.submitted_at[job]
+        for job in day.jobs
+    ]
     assert max(waits) < seconds(240)
     # Most workers came to one node while the others were away, and it had something to say to each.
-    assert MACHINES // 2 < deployment.most_open <= FLEET.sockets
-    assert deployment.started > 2000
+    assert MACHINES // 2 < deployment.connections.most_open <= FLEET.sockets
+    assert deployment.executions.started > 2000
 
 
 def begin_of_day() -> None:
@@ -115,10 +120,10 @@
     deployment = Day(31).deployment
     deployment.run(seconds(27), timedelta(milliseconds=200))
     print(
-        deployment.started,
-        deployment.most_open,
-        sorted(deployment.began.items()),
-        sorted(deployment.answered.items()),
+        deployment.executions.started,
+        deployment.connections.most_open,
+        sorted(deployment.executions.began_at.items()),
+        sorted(deployment.jobs.answered_at.items()),
     )
 
 
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -18,7 +18,11 @@
 def settle(deployment: SimulatedDeployment, span_s: float, after_troubles: bool = False) -> None:
     """Runs until users know of all jobs that they are over, and fails if that takes longer, counted from now
     or, with `after_troubles`, from the end of the latest trouble if that is still to come."""
-    begin = max(deployment.clock.now(), deployment.calm) if after_troubles else deployment.clock.now()
+    begin = (
+        max(deployment.clock.now(), deployment.fault_window.ends_at)
+        if after_troubles
+        else deployment.clock.now()
+    )
     while deployment.clock.now() < begin + seconds(span_s) and _open_jobs(deployment):
         deployment.run(seconds(1))
     assert not _open_jobs(deployment), _open_jobs(deployment)
@@ -26,4 +30,8 @@
 
 def _open_jobs(deployment: SimulatedDeployment) -> dict[str, str | None]:
     """The jobs that are not over, and what users were last told of them."""
-    return {job: deployment.told.get(job) for job in deployment.jobs if deployment.told.get(job) not in OVER}
+    return {
+        job: deployment.jobs.observed_states.get(job)
+        for job in deployment.jobs.descriptions
+        if deployment.jobs.observed_states.get(job) not in OVER
+    }
