--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -1,7 +1,7 @@
 """Wires the slices into one node."""
 
 import logging
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 from datetime import timedelta
 from functools import partial
 from typing import Any
@@ -13,6 +13,7 @@
 from twisted.python.threadpool import ThreadPool
 
 from spindleglade.controller.leader import Leader
+from spindleglade.controller.leader_dependencies import Compute, LeaderDependencies
 from spindleglade.fleet.client import CloudClient
 from spindleglade.fleet.machine_types import MachineTypeCatalog
 from spindleglade.http.client import HttpClient, Requester
@@ -55,8 +56,6 @@
 # How often idle connections are looked for.
 IDLE_CONNECTION_CHECK_S = 2.0
 
-Compute = Callable[..., Awaitable[Any]]
-
 
 def run_controller(platform: Platform, settings: OperatorSettings, reactor: Any) -> None:
     """Puts a node on the network; it serves once the reactor runs."""
@@ -241,22 +240,21 @@
     # Leadership.
 
     def _on_elected(self, term: Term) -> None:
-        self.leader = Leader(
-            term,
-            self._platform,
-            self._settings,
-            self._clock,
-            self._compute,
-            self._machine_requester,
-            self.client,
-            self.cloud,
-            self.types,
-            self.is_leadership_proven,
-            self._leader_cancellation_freshness,
-            self.election.step_down,
-            self.replica,
-            self.views,
+        dependencies = LeaderDependencies(
+            platform=self._platform,
+            settings=self._settings,
+            clock=self._clock,
+            compute=self._compute,
+            machine_requester=self._machine_requester,
+            client=self.client,
+            cloud=self.cloud,
+            machine_types=self.types,
+            replica=self.replica,
+            views=self.views,
+            cancellation_freshness=self._leader_cancellation_freshness,
+            is_leadership_proven=self.is_leadership_proven,
         )
+        self.leader = Leader(term, dependencies, self.election.step_down)
         self.leader.start()
 
     def is_leadership_proven(self) -> bool:
--- /dev/null
+++ b/spindleglade/controller/recovery.py
@@ -0,0 +1,213 @@
+"""Reads the stored records into the cluster state of a new leader."""
+
+import logging
+from dataclasses import dataclass, field
+from datetime import timedelta
+
+import msgspec
+
+from spindleglade.backfill.distributions import Bins, History, Predictor
+from spindleglade.controller.leader_dependencies import LeaderDependencies
+from spindleglade.runtime.clock import ZERO, Clock, seconds, sleep
+from spindleglade.settings.operator import BackfillSettings
+from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError, RevisionCompactedError
+from spindleglade.store.messages import Entry, Listing
+from spindleglade.store.replica import Replica
+from spindleglade.submissions.records import (
+    DEPENDENCIES,
+    HISTORY,
+    JOBS,
+    OVERFLOW_RANGES,
+    PREFIX,
+    TASK_RANGES,
+    JobRecord,
+    TaskRangeRecord,
+    overflow_range_key,
+    range_key,
+    split_overflow_range_key,
+    split_range_key,
+)
+from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.policy import WorkerPolicy
+
+log = logging.getLogger("spindleglade.leadership")
+
+# Delay before the records are requested again after a failed attempt to read them.
+RECOVERY_RETRY_DELAY = seconds(0.3)
+
+
+def new_predictor(settings: BackfillSettings) -> Predictor:
+    """A run-time predictor without any history."""
+    return Predictor(
+        Bins(seconds(settings.first_bin_s), settings.bin_factor),
+        settings.history_runs,
+        settings.history_kept,
+        settings.predictor == "distributions",
+    )
+
+
+def new_cluster_state(
+    token: int, dependencies: LeaderDependencies, predictor: Predictor, now: timedelta
+) -> ClusterState:
+    """A cluster state without jobs and machines, for the term with this token."""
+    workers = dependencies.platform.params.workers
+    settings = dependencies.settings
+    policy = WorkerPolicy(
+        workers.lease,
+        workers.heartbeat_interval,
+        settings.workers.faulty_jobs,
+        seconds(settings.workers.backoff_s),
+        seconds(settings.workers.backoff_most_s),
+        seconds(settings.backfill.overdue_s),
+    )
+    return ClusterState(
+        token,
+        policy,
+        dependencies.platform.teams,
+        dependencies.machine_types.capacities(),
+        predictor,
+        now,
+    )
+
+
+@dataclass(slots=True)
+class _DecodedRecords:
+    """The records of a listing, decoded but not yet applied."""
+
+    # Job records with their mod revisions.
+    jobs: list[tuple[JobRecord, int]] = field(default_factory=list)
+    # Job, number of the range, record.
+    ranges: list[tuple[str, int, TaskRangeRecord]] = field(default_factory=list)
+    # Job, first task of the overflow range, record.
+    overflow_ranges: list[tuple[str, int, TaskRangeRecord]] = field(default_factory=list)
+
+
+class RecordLoader:
+    """Applies stored records to a cluster state and a predictor.
+
+    A record that cannot be decoded must not keep every controller from leading. Its job is ignored: it is
+    neither placed, since its tasks may be on machines, nor are its stored task ranges removed.
+    """
+
+    def __init__(self, cluster: ClusterState, predictor: Predictor, replica: Replica, clock: Clock) -> None:
+        self.cluster = cluster
+        # Mod revisions of the stored task ranges and overflow ranges of readable jobs, by key.
+        self.range_mod_revisions: dict[str, int] = {}
+        # Mod revisions of the teams' stored histories, by key.
+        self.history_mod_revisions: dict[str, int] = {}
+        self._predictor = predictor
+        self._replica = replica
+        self._clock = clock
+        self._unreadable_jobs: set[str] = set()
+
+    def load(self, entries: list[Entry], now: timedelta) -> None:
+        """Applies all entries of a listing."""
+        for entry in entries:
+            if entry.key.startswith((JOBS, DEPENDENCIES)):
+                # The listing may be ahead of the watch, and the dependency graph follows the replica.
+                self._replica.observe(entry.key, bytes(entry.value), entry.mod_revision)
+        decoded = _DecodedRecords()
+        for entry in entries:
+            try:
+                self._decode(entry, decoded)
+            except (msgspec.DecodeError, ValueError) as error:
+                self._on_undecodable(entry, error)
+        for record, mod_revision in decoded.jobs:
+            self.observe_job(record, mod_revision)
+        self._load_ranges(decoded, now)
+
+    def observe_job(self, record: JobRecord, mod_revision: int) -> None:
+        """Applies a job record, unless some record of this job could not be decoded."""
+        if record.spec.id in self._unreadable_jobs:
+            return
+        # The time of day differs between controllers; a job's age must not become negative by that.
+        age = ZERO
+        if record.accepted is not None:
+            age = max(age, self._clock.utc() - record.accepted)
+        self.cluster.observe_job(record, mod_revision, self._clock.now(), age)
+
+    def _decode(self, entry: Entry, decoded: _DecodedRecords) -> None:
+        """Raises msgspec.DecodeError or ValueError if the entry's key or value is malformed."""
+        if entry.key.startswith(JOBS):
+            decoded.jobs.append((msgspec.json.decode(entry.value, type=JobRecord), entry.mod_revision))
+        elif entry.key.startswith(TASK_RANGES):
+            job, number = split_range_key(entry.key)
+            decoded.ranges.append((job, number, msgspec.json.decode(entry.value, type=TaskRangeRecord)))
+            self.range_mod_revisions[entry.key] = entry.mod_revision
+        elif entry.key.startswith(OVERFLOW_RANGES):
+            job, first_task = split_overflow_range_key(entry.key)
+            record = msgspec.json.decode(entry.value, type=TaskRangeRecord)
+            decoded.overflow_ranges.append((job, first_task, record))
+            self.range_mod_revisions[entry.key] = entry.mod_revision
+        elif entry.key.startswith(HISTORY):
+            self.history_mod_revisions[entry.key] = entry.mod_revision
+            team = entry.key[len(HISTORY) :]
+            self._predictor.load(team, msgspec.json.decode(entry.value, type=History))
+
+    def _on_undecodable(self, entry: Entry, error: Exception) -> None:
+        log.error("record not decoded key=%s reason=%s", entry.key, error)
+        if not entry.key.startswith(HISTORY):
+            self._unreadable_jobs.add(entry.key.split("/")[2])
+
+    def _load_ranges(self, decoded: _DecodedRecords, now: timedelta) -> None:
+        # An overflow range limits the tasks for which the other ranges are valid, so all overflow ranges are
+        # declared before any range is loaded.
+        for job, first_task, _ in decoded.overflow_ranges:
+            if job not in self._unreadable_jobs:
+                self.cluster.add_overflow_range(job, first_task)
+        for job, number, record in decoded.ranges:
+            if job in self._unreadable_jobs:
+                self.range_mod_revisions.pop(range_key(job, number), None)
+            else:
+                self.cluster.load_range(job, number, record, now)
+        for job, first_task, record in decoded.overflow_ranges:
+            if job in self._unreadable_jobs:
+                self.range_mod_revisions.pop(overflow_range_key(job, first_task), None)
+            else:
+                self.cluster.load_overflow_range(job, first_task, record, now)
+
+
+class Recovery:
+    """The recovery of one term: lists the stored records, and applies them together with the job changes
+    that arrive meanwhile."""
+
+    def __init__(self, token: int, dependencies: LeaderDependencies, predictor: Predictor) -> None:
+        self._token = token
+        self._dependencies = dependencies
+        self._predictor = predictor
+        self._clock = dependencies.clock
+        self._stopped = False
+        # Job records with their mod revisions that changed since the term began.
+        self._pending_changes: list[tuple[JobRecord, int]] = []
+
+    def stop(self) -> None:
+        """Ends the reading; `run` then returns None."""
+        self._stopped = True
+
+    def on_job_changed(self, record: JobRecord, mod_revision: int) -> None:
+        """Keeps the change until the listing has been applied."""
+        self._pending_changes.append((record, mod_revision))
+
+    async def run(self) -> tuple[RecordLoader, Listing] | None:
+        """The loader, with all records applied, and the listing that it read; None if it was stopped."""
+        listing = await self._read_listing()
+        if listing is None:
+            return None
+        now = self._clock.now()
+        cluster = new_cluster_state(self._token, self._dependencies, self._predictor, now)
+        loader = RecordLoader(cluster, self._predictor, self._dependencies.replica, self._clock)
+        loader.load(listing.entries, now)
+        for record, mod_revision in self._pending_changes:
+            loader.observe_job(record, mod_revision)
+        return loader, listing
+
+    async def _read_listing(self) -> Listing | None:
+        """All that the store holds; None if the recovery was stopped first."""
+        while not self._stopped:
+            try:
+                listing = await self._dependencies.client.read_all(PREFIX)
+                return None if self._stopped else listing
+            except (NotAppliedError, OutcomeUnknownError, RevisionCompactedError) as error:
+                log.info("records not read reason=%s", error)
+                await sleep(self._clock, RECOVERY_RETRY_DELAY)
+        return None
--- a/spindleglade/controller/test_leader.py
+++ b/spindleglade/controller/test_history_writer.py
@@ -1,30 +1,19 @@
-"""What a leader reads when it takes over, and the histories it keeps on record."""
-
-from datetime import timedelta
+"""The teams' histories of run times that a leader keeps on record."""
 
 import msgspec
 from twisted.internet.defer import Deferred
 
 from spindleglade.controller.history_writer import HistoryWriter
-from spindleglade.controller.leader import Leader
+from spindleglade.controller.recovery import new_predictor
 from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.background import run_in_background
-from spindleglade.runtime.clock import ManualClock, seconds
+from spindleglade.runtime.clock import seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.errors import OutcomeUnknownError
-from spindleglade.store.messages import Committed, ConditionFailed, Entry, encode_value
-from spindleglade.submissions.records import (
-    HISTORY,
-    JobRecord,
-    StoredAttempt,
-    TaskRangeRecord,
-    job_key,
-    range_key,
-)
-from spindleglade.submissions.views import JobViews
-from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
-from tests.deployment_config import DeploymentConfig, platform
+from spindleglade.store.messages import Committed, ConditionFailed, Entry
+from spindleglade.submissions.records import HISTORY
+from spindleglade.workers.test_cluster_state import TOKEN, make_cluster
 
 
 class Store:
@@ -63,39 +52,10 @@
         return Entry(key, msgspec.Raw(self.keys[key][0]), self.keys[key][1]) if key in self.keys else None
 
 
-class Learner:
-    """Stands in for the replica: what the leader reads ahead of the watch is not needed here."""
-
-    def observe(self, key, value, mod_revision):
-        pass
-
-
-def make(store):
-    deposed = []
-    leader = Leader(
-        Term(TOKEN, 5, 1),
-        platform(0, DeploymentConfig()),
-        OperatorSettings(),
-        ManualClock(),
-        None,
-        None,
-        store,
-        None,
-        None,
-        None,
-        None,
-        deposed.append,
-        Learner(),
-        JobViews(),
-    )
-    leader.cluster, leader.is_active = make_cluster(), True
-    return leader, deposed
-
-
 def make_recorder(store):
     """A recorder of histories, its cluster state, and what it was deposed for."""
     cluster, deposed = make_cluster(), []
-    predictor = make(store)[0].predictor
+    predictor = new_predictor(OperatorSettings().backfill)
     recorder = HistoryWriter(cluster, predictor, store, Term(TOKEN, 5, 1), {}, deposed.append)
     return recorder, cluster, deposed
 
@@ -147,27 +107,3 @@
     recorder.stop()
     store.slow.callback(None)
     assert len(deposed) == 1
-
-
-def test_a_record_that_cannot_be_read_stops_no_leader_and_its_job_is_left_alone():
-    """One such record, and no node could lead: each broke in taking over."""
-    leader, _ = make(Store())
-    opened = {id: encode_value(JobRecord("open", spec(id), 256)) for id in ("job-1", "job-2", "job-3")}
-    chunk = encode_value(TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)}))
-    entries = [
-        Entry(HISTORY + "t", encode_value([]), 2),
-        Entry(job_key("job-1"), opened["job-1"], 3),
-        Entry(job_key("job-2"), encode_value({"stage": "resting"}), 4),
-        Entry(job_key("job-3"), opened["job-3"], 5),
-        Entry(range_key("job-1", 0), chunk, 6),
-        Entry(range_key("job-2", 0), chunk, 7),
-        Entry(range_key("job-3", 0), chunk, 8),
-        Entry(range_key("job-3", 1), encode_value({"placed": 3}), 9),
-        Entry("sg/task/job-4/x", chunk, 10),
-    ]
-    mod_revisions = leader._load_records(leader.cluster, entries, timedelta(0))
-    assert set(leader.cluster.jobs) == {"job-1"} and mod_revisions == {range_key("job-1", 0): 6}
-    assert [job for job, _ in leader.cluster.pending_writes] == []
-    # Nor when the replica tells of it later.
-    leader._observe_job(leader.cluster, JobRecord("open", spec("job-3"), 256), 5)
-    assert set(leader.cluster.jobs) == {"job-1"}
--- /dev/null
+++ b/spindleglade/controller/test_recovery.py
@@ -0,0 +1,54 @@
+"""What a leader recovers from the stored records."""
+
+from datetime import timedelta
+
+from spindleglade.controller.recovery import RecordLoader, new_predictor
+from spindleglade.runtime.clock import ManualClock
+from spindleglade.settings import OperatorSettings
+from spindleglade.store.messages import Entry, encode_value
+from spindleglade.submissions.records import (
+    HISTORY,
+    JobRecord,
+    StoredAttempt,
+    TaskRangeRecord,
+    job_key,
+    range_key,
+)
+from spindleglade.workers.test_cluster_state import make_cluster, spec
+
+
+class FakeReplica:
+    """Ignores what the leader reads ahead of the watch."""
+
+    def observe(self, key, value, mod_revision):
+        pass
+
+
+def make_loader(cluster, replica=None, clock=None):
+    """A loader of records into this cluster state."""
+    predictor = new_predictor(OperatorSettings().backfill)
+    return RecordLoader(cluster, predictor, replica or FakeReplica(), clock or ManualClock())
+
+
+def test_a_record_that_cannot_be_read_stops_no_leader_and_its_job_is_left_alone():
+    """One such record must not keep every controller from leading."""
+    loader = make_loader(make_cluster())
+    opened = {id: encode_value(JobRecord("open", spec(id), 256)) for id in ("job-1", "job-2", "job-3")}
+    chunk = encode_value(TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)}))
+    entries = [
+        Entry(HISTORY + "t", encode_value([]), 2),
+        Entry(job_key("job-1"), opened["job-1"], 3),
+        Entry(job_key("job-2"), encode_value({"stage": "resting"}), 4),
+        Entry(job_key("job-3"), opened["job-3"], 5),
+        Entry(range_key("job-1", 0), chunk, 6),
+        Entry(range_key("job-2", 0), chunk, 7),
+        Entry(range_key("job-3", 0), chunk, 8),
+        Entry(range_key("job-3", 1), encode_value({"placed": 3}), 9),
+        Entry("sg/task/job-4/x", chunk, 10),
+    ]
+    loader.load(entries, timedelta(0))
+    assert set(loader.cluster.jobs) == {"job-1"} and loader.range_mod_revisions == {range_key("job-1", 0): 6}
+    assert [job for job, _ in loader.cluster.pending_writes] == []
+    # Nor when the replica tells of it later.
+    loader.observe_job(JobRecord("open", spec("job-3"), 256), 5)
+    assert set(loader.cluster.jobs) == {"job-1"}
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -6,12 +6,13 @@
 import pytest
 
 from spindleglade.backfill.plan import Placement, Plan
-from spindleglade.controller.leader import Leader
 from spindleglade.controller.pipelines import PipelineUpdater
+from spindleglade.controller.recovery import new_predictor
+from spindleglade.controller.test_recovery import make_loader
 from spindleglade.leadership.term import Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
-from spindleglade.store.messages import Entry, Listing, encode_value
+from spindleglade.store.messages import Entry, encode_value
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord, job_key
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.jobs import WAITING
@@ -19,7 +20,6 @@
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from spindleglade.workers.test_cluster_state import RULES, TOKEN, Harness, spec
 from spindleglade.workers.test_state_writer import Store
-from tests.deployment_config import DeploymentConfig, platform
 
 
 def dependent(id="job-2", dependencies=("job-1",), **fields):
@@ -172,17 +172,6 @@
         self._views.on_change(key, value, mod_revision)
 
 
-class Listed:
-    """A store that holds these records and takes nothing."""
-
-    def __init__(self, records):
-        self.limits = platform(0, DeploymentConfig()).params.state
-        self._entries = records
-
-    async def read_all(self, prefix):
-        return Listing(self._entries, 9)
-
-
 def take_over(*records):
     """A leader that has read these records, ahead of its replica; the node's views, and what applies the
     dependencies among them to the leader's state."""
@@ -191,31 +180,13 @@
         Entry(job_key(record.spec.id), encode_value(record), mod_revision)
         for mod_revision, record in enumerate(records, 1)
     ]
-    leader = Leader(
-        Term(TOKEN, 5, 1),
-        platform(0, DeploymentConfig()),
-        OperatorSettings(),
-        ManualClock(),
-        None,
-        None,
-        Listed(entries),
-        None,
-        None,
-        None,
-        None,
-        str,
-        Replica(views),
-        views,
-    )
     harness = Harness()
-    leader.cluster = harness.cluster
-    leader.cluster.jobs.clear()
-    leader._load_records(leader.cluster, entries, harness.now)
-    return (
-        leader,
-        views,
-        PipelineUpdater(leader.cluster, views, leader.predictor, leader._clock, lambda: None),
-    )
+    harness.cluster.jobs.clear()
+    clock = ManualClock()
+    leader = make_loader(harness.cluster, Replica(views), clock)
+    leader.load(entries, harness.now)
+    predictor = new_predictor(OperatorSettings().backfill)
+    return leader, views, PipelineUpdater(leader.cluster, views, predictor, clock, lambda: None)
 
 
 @pytest.mark.parametrize("state", ["open", "done", "aborted"])
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_splitting.py
@@ -7,12 +7,10 @@
 from hypothesis.stateful import rule
 
 from spindleglade.backfill.plan import Placement, Plan
-from spindleglade.controller.leader import Leader
-from spindleglade.controller.test_leader import Learner
+from spindleglade.controller.test_recovery import make_loader
 from spindleglade.http.client import ClientResponse
 from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.clock import ManualClock, seconds
-from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import NextStateLimits, StateLimits
 from spindleglade.store.client import StateClient
 from spindleglade.submissions.records import JobRecord, job_key, range_key
@@ -22,7 +20,6 @@
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
 from spindleglade.workers.test_state_writer import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
-from tests.deployment_config import DeploymentConfig, platform
 from tests.fakes.state_service import StateService
 
 LOWER = NextStateLimits(value_kb=0.45, txn_ops=4)
@@ -73,17 +70,8 @@
 
     def read(self, entries):
         """The cluster of a leader that would take over now."""
-        leader = Leader(
-            None,
-            platform(0, DeploymentConfig()),
-            OperatorSettings(),
-            ManualClock(),
-            *[None] * 8,
-            Learner(),
-            JobViews(),
-        )
         cluster = make_cluster()
-        leader._load_records(cluster, entries, self.clock.now())
+        make_loader(cluster).load(entries, self.clock.now())
         return cluster
 
     def follow(self):
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -8,13 +8,11 @@
 from twisted.internet.defer import Deferred
 
 from spindleglade.backfill.plan import Placement, Plan
-from spindleglade.controller.leader import Leader
-from spindleglade.controller.test_leader import Learner
+from spindleglade.controller.test_recovery import make_loader
 from spindleglade.http.client import ClientResponse
 from spindleglade.http.errors import NoResponseError
 from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.clock import ManualClock, seconds
-from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.client import StateClient
 from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
@@ -28,11 +26,9 @@
     job_key,
     range_key,
 )
-from spindleglade.submissions.views import JobViews
 from spindleglade.workers.messages import Heartbeat, TaskStatus
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
-from tests.deployment_config import DeploymentConfig, platform
 from tests.fakes.state_service import StateService
 
 
@@ -313,18 +309,10 @@
         self.write(LEADER, {})
         term = Term(self.token, self.service.revision, 1)
         client = StateClient(UnreliableConnection(self), "", self.clock, self.LIMITS, 1, seconds(1))
-        leader = Leader(
-            term,
-            platform(0, DeploymentConfig()),
-            OperatorSettings(),
-            self.clock,
-            *[None] * 8,
-            Learner(),
-            JobViews(),
-        )
         self.cluster = make_cluster()
         self.cluster.token = self.token
-        mod_revisions = leader._load_records(self.cluster, self.entries(), self.clock.now())
+        loader = make_loader(self.cluster, clock=self.clock)
+        loader.load(self.entries(), self.clock.now())
         self.cluster.finish_loading()
         self.deposed = []
         self.writer = StateWriter(
@@ -332,7 +320,7 @@
             client,
             self.clock,
             term,
-            mod_revisions,
+            loader.range_mod_revisions,
             StateWriterEvents(lambda: None, self.deposed.append),
         )
         self.writer.start()
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -7,7 +7,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from spindleglade.controller.leader import Leader
+from spindleglade.controller.recovery import RecordLoader
 from spindleglade.fleet.machine_list import MachineListReader
 from spindleglade.fleet.scale_in import ScaleIn
 from spindleglade.fleet.scale_out import ScaleOut
@@ -52,7 +52,7 @@
     "upkeep": (ClusterState, "set_machine_types"),
     "planning": (ClusterState, "snapshot"),
     "applying a plan": (ClusterState, "apply_plan"),
-    "taking over": (Leader, "_load_records"),
+    "recovery": (RecordLoader, "load"),
 }
 
 
@@ -142,7 +142,7 @@
     stuck = deployment.leading_controller().leader
 
     def breaks_here(self, *args, **kwargs):
-        autoscaler = stuck._autoscaler
+        autoscaler = stuck.running.autoscaler
         if self in (stuck.cluster, autoscaler._scale_out, autoscaler._machine_list):
             raise Broken
         return method(self, *args, **kwargs)
