--- a/spindleglade/cli.py
+++ b/spindleglade/cli.py
@@ -70,7 +70,7 @@
     from twisted.internet import reactor
     from twisted.python.log import PythonLoggingObserver
 
-    from spindleglade.controller.controller import run_controller
+    from spindleglade.controller.wiring import run_controller
 
     PythonLoggingObserver("twisted").start()
     logging.getLogger("twisted").setLevel(logging.ERROR)
@@ -86,7 +86,7 @@
     import hcl2  # noqa: F401
     import twisted.internet.reactor  # noqa: F401
 
-    import spindleglade.controller.controller  # noqa: F401
+    import spindleglade.controller.wiring  # noqa: F401
 
     return EXIT_OK
 
--- /dev/null
+++ b/spindleglade/controller/lease_renewal_report.py
@@ -0,0 +1,68 @@
+"""Reports to the leader, through the store, which workers' leases this controller has renewed without it."""
+
+import logging
+from datetime import timedelta
+
+from spindleglade.runtime.background import run_forever
+from spindleglade.runtime.clock import Clock, seconds, sleep
+from spindleglade.store.client import StateClient
+from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
+from spindleglade.store.messages import Condition, Put, encode_value
+from spindleglade.store.replica import Replica
+from spindleglade.submissions.records import LEASE_RENEWALS
+from spindleglade.workers.api import WorkerApi
+
+log = logging.getLogger("spindleglade")
+
+REPORT_INTERVAL = seconds(1.5)
+# Renewals up to this age are reported.
+MAX_RENEWAL_AGE = REPORT_INTERVAL * 2
+# What JSON adds to each name in a list: two quotes and a comma.
+JSON_BYTES_PER_NAME = 3
+
+
+class LeaseRenewalReporter:
+    """Writes the names of the machines whose leases this controller renews while it cannot reach the leader.
+    The leader would otherwise terminate machines that are only behind a network partition."""
+
+    def __init__(
+        self, controller: str, clock: Clock, client: StateClient, replica: Replica, workers: WorkerApi
+    ) -> None:
+        self._controller = controller
+        self._clock = clock
+        self._client = client
+        self._replica = replica
+        self._workers = workers
+
+    def start(self) -> None:
+        """Begins to report."""
+        run_forever(self._clock, self._run, "lease renewal report")
+
+    async def _run(self) -> None:
+        while True:
+            await sleep(self._clock, REPORT_INTERVAL)
+            machines = self._recently_renewed(self._clock.now())
+            if machines:
+                await self._write(machines)
+
+    def _recently_renewed(self, now: timedelta) -> list[str]:
+        """The machines to report, sorted. Older renewals are forgotten if there is none to report."""
+        renewed = self._workers.renewed_without_leader
+        machines = sorted(machine for machine, at in renewed.items() if now - at <= MAX_RENEWAL_AGE)
+        if not machines:
+            renewed.clear()
+        return machines
+
+    async def _write(self, machines: list[str]) -> None:
+        """Writes the names under as many keys as the limit on values requires."""
+        longest_name = max(map(len, machines))
+        names_per_key = max(1, self._client.limits.value_bytes // (longest_name + JSON_BYTES_PER_NAME))
+        for first in range(0, len(machines), names_per_key):
+            key = f"{LEASE_RENEWALS}{self._controller}/{first // names_per_key}"
+            # Conditional: a copy of this request that is applied late must not report the renewals again.
+            conditions = [Condition(key, self._replica.mod_revisions.get(key, 0))]
+            names = encode_value(machines[first : first + names_per_key])
+            try:
+                await self._client.compare_and_swap(conditions, [Put(key, names)], urgent=True)
+            except (NotAppliedError, OutcomeUnknownError) as error:
+                log.info("lease renewals not reported reason=%s", error)
