--- a/spindleglade/fleet/client.py
+++ b/spindleglade/fleet/client.py
@@ -1,13 +1,17 @@
-"""Client of the cloud, by its published protocol. Calls end like the state client's: an answer, `Refused`
-with the reason the cloud gave, or `Silent` where the request may still be carried out. Besides, `Withheld` is
-raised for a request that its caller may no longer make once its turn has come."""
+"""Client of the cloud, by its published protocol: machine types, provisioning, termination, listing."""
 
 from collections.abc import Callable
 from datetime import timedelta
-from typing import Any
+from typing import TypeVar
 
 import msgspec
 
+from spindleglade.fleet.errors import (
+    CloudRequestRejectedError,
+    CloudTimeoutError,
+    InsufficientCapacityError,
+    LeadershipUnprovenError,
+)
 from spindleglade.fleet.messages import (
     ListedMachine,
     MachinePage,
@@ -22,79 +26,94 @@
 from spindleglade.runtime.clock import Clock, sleep
 from spindleglade.store.token_bucket import TokenBucket
 
+# What the cloud accepts in one request.
 MAX_PROVISIONED_PER_REQUEST = 50
 MAX_TERMINATED_PER_REQUEST = 100
+# Machines in one page of the machine list.
+MACHINES_PER_PAGE = 500
+# Share of the request rate that the leader, which makes nearly all requests, may use steadily.
+SUSTAINED_SHARE_OF_RATE = 0.8
 
+HTTP_OK = 200
+HTTP_SERVICE_UNAVAILABLE = 503
+# What the cloud's answer contains if it has no machine of the requested machine pool.
+NO_CAPACITY_MARKER = b"no capacity"
 
-class CloudRequestRejectedError(Exception):
-    """Not carried out."""
-
-
-class InsufficientCapacityError(CloudRequestRejectedError):
-    """None available of this type, zone and kind."""
-
-
-class CloudTimeoutError(Exception):
-    """No answer: the request may have been carried out, or may still be."""
-
-
-class LeadershipUnprovenError(Exception):
-    """Not sent: the caller may not make the request any more."""
+Message = TypeVar("Message")
 
 
 class CloudClient:
+    """Requests to the cloud, within its rate limit. Each call raises a `CloudError` if it fails."""
+
     def __init__(self, http: Requester, address: str, clock: Clock, rps: float, timeout: timedelta) -> None:
         self._http = http
         self._address = address
         self._clock = clock
         self._timeout = timeout
-        # The leader makes nearly all calls; the others only ask for the types when they start.
-        self._request_tokens = TokenBucket(clock, rps * 0.8, rps)
+        self._request_tokens = TokenBucket(clock, rps * SUSTAINED_SHARE_OF_RATE, rps)
+
+    async def list_machine_types(self) -> list[MachineType]:
+        """All machine types of the cloud."""
+        body = await self._call("GET", "/machine_types")
+        return _decode("GET /machine_types", body, MachineTypeList).types
+
+    async def provision(self, request: ProvisionRequest, is_allowed: Callable[[], bool]) -> list[str]:
+        """Names of the machines provisioned, which may be fewer than requested. `is_allowed` is asked when
+        the request is about to be sent."""
+        body = await self._call("POST", "/hosts", request, is_allowed)
+        return _decode("POST /hosts", body, ProvisionResponse).machines
+
+    async def terminate(self, names: list[str], is_allowed: Callable[[], bool]) -> None:
+        """Terminates the machines; when it returns, they and all on them are gone. `is_allowed` is asked when
+        the request is about to be sent."""
+        await self._call("POST", "/hosts/release", TerminateRequest(names), is_allowed)
+
+    async def list_machines(self) -> list[ListedMachine]:
+        """All machines of this deployment, page by page; the list may lag behind."""
+        machines: list[ListedMachine] = []
+        path = f"/hosts?page={MACHINES_PER_PAGE}"
+        while True:
+            page = _decode(f"GET {path}", await self._call("GET", path), MachinePage)
+            machines.extend(page.machines)
+            if not page.more or not page.machines:
+                return machines
+            path = f"/hosts?page={MACHINES_PER_PAGE}&since={page.machines[-1].name}"
 
     async def _call(
-        self, method: str, path: str, body: Any, kind: Any, allowed: Callable[[], bool] | None = None
-    ) -> Any:
+        self,
+        method: str,
+        path: str,
+        message: msgspec.Struct | None = None,
+        is_allowed: Callable[[], bool] | None = None,
+    ) -> bytes:
+        """The body of the answer, if the request was carried out."""
+        operation = f"{method} {path}"
         delay = self._request_tokens.reserve()
         if delay:
             await sleep(self._clock, delay)
-        if allowed is not None and not allowed():
-            raise LeadershipUnprovenError(path)
-        encoded = None if body is None else msgspec.json.encode(body)
+        if is_allowed is not None and not is_allowed():
+            raise LeadershipUnprovenError(operation=operation)
+        body = None if message is None else msgspec.json.encode(message)
         try:
-            response: ClientResponse = await self._http.request(
-                method, self._address, path, encoded, self._timeout
-            )
+            response = await self._http.request(method, self._address, path, body, self._timeout)
         except NotSentError as error:
-            raise CloudRequestRejectedError(str(error)) from None
+            raise CloudRequestRejectedError(str(error), operation) from error
         except NoResponseError as error:
-            raise CloudTimeoutError(str(error)) from None
-        if response.status == 503 and b"no capacity" in response.body:
-            raise InsufficientCapacityError("no capacity")
-        if response.status != 200:
-            raise CloudRequestRejectedError(f"{path} answered {response.status}")
-        if kind is None:
-            return None
-        try:
-            return msgspec.json.decode(response.body, type=kind)
-        except msgspec.DecodeError as error:
-            raise CloudTimeoutError(f"malformed answer: {error}") from None
+            raise CloudTimeoutError(str(error), operation) from error
+        _check_status(operation, response)
+        return response.body
 
-    async def list_machine_types(self) -> list[MachineType]:
-        return (await self._call("GET", "/machine_types", None, MachineTypeList)).types
 
-    async def provision(self, rent: ProvisionRequest, allowed: Callable[[], bool]) -> list[str]:
-        return (await self._call("POST", "/hosts", rent, ProvisionResponse, allowed)).machines
+def _check_status(operation: str, response: ClientResponse) -> None:
+    """Raises the error that the status of the answer stands for, if any."""
+    if response.status == HTTP_SERVICE_UNAVAILABLE and NO_CAPACITY_MARKER in response.body:
+        raise InsufficientCapacityError(operation=operation, status=response.status)
+    if response.status != HTTP_OK:
+        raise CloudRequestRejectedError(operation=operation, status=response.status)
 
-    async def terminate(self, names: list[str], allowed: Callable[[], bool]) -> None:
-        await self._call("POST", "/hosts/release", TerminateRequest(names), None, allowed)
 
-    async def list_machines(self) -> list[ListedMachine]:
-        found: list[ListedMachine] = []
-        since = ""
-        while True:
-            path = "/hosts?page=500" + (f"&since={since}" if since else "")
-            page: MachinePage = await self._call("GET", path, None, MachinePage)
-            found.extend(page.machines)
-            if not page.more or not page.machines:
-                return found
-            since = page.machines[-1].name
+def _decode(operation: str, body: bytes, message_type: type[Message]) -> Message:
+    try:
+        return msgspec.json.decode(body, type=message_type)
+    except msgspec.DecodeError as error:
+        raise CloudTimeoutError(f"malformed answer: {error}", operation) from error
--- a/spindleglade/fleet/machine_list.py
+++ b/spindleglade/fleet/machine_list.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from spindleglade.fleet.client import CloudRequestRejectedError, CloudTimeoutError
+from spindleglade.fleet.errors import CloudError
 from spindleglade.fleet.messages import ListedMachine, MachineState, MachineType
 from spindleglade.fleet.parameters import AutoscalerContext, MachineSupply
 from spindleglade.fleet.state import BootingMachine, FleetState
@@ -72,7 +72,7 @@
         """One pass: reads the list and applies it."""
         try:
             self.apply(await self._cloud.list_machines())
-        except (CloudRequestRejectedError, CloudTimeoutError) as error:
+        except CloudError as error:
             log.info("machine list not read reason=%s", error)
 
     def apply(self, listed: list[ListedMachine]) -> None:
--- a/spindleglade/fleet/machine_types.py
+++ b/spindleglade/fleet/machine_types.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from spindleglade.fleet.client import CloudClient, CloudRequestRejectedError, CloudTimeoutError
+from spindleglade.fleet.client import CloudClient
+from spindleglade.fleet.errors import CloudError
 from spindleglade.fleet.messages import MachineType, MachineTypeList
 from spindleglade.runtime.background import run_forever
 from spindleglade.runtime.clock import Clock, seconds, sleep
@@ -85,7 +86,7 @@
     async def _refresh(self) -> None:
         try:
             types = await self._cloud.list_machine_types()
-        except (CloudRequestRejectedError, CloudTimeoutError) as error:
+        except CloudError as error:
             log.info("machine types not read reason=%s", error)
             return
         if not types:
--- a/spindleglade/fleet/provisioning_requests.py
+++ b/spindleglade/fleet/provisioning_requests.py
@@ -4,11 +4,7 @@
 from collections.abc import Callable
 
 from spindleglade.fleet.capacity_backoff import CapacityBackoff
-from spindleglade.fleet.client import (
-    CloudRequestRejectedError,
-    CloudTimeoutError,
-    LeadershipUnprovenError,
-)
+from spindleglade.fleet.errors import CloudRequestRejectedError, CloudTimeoutError, LeadershipUnprovenError
 from spindleglade.fleet.machine_pool import MachineOffer
 from spindleglade.fleet.messages import ProvisionRequest
 from spindleglade.fleet.parameters import AutoscalerContext
@@ -68,9 +64,9 @@
         request = pending.request
         try:
             names = await self._cloud.provision(request, self._is_leadership_proven)
-        except LeadershipUnprovenError:
+        except LeadershipUnprovenError as error:
             # Machines that an earlier attempt may have brought are adopted from the machine list.
-            log.info("provisioning given up request=%s reason=leadership unproven", request.request_id)
+            log.info("provisioning given up request=%s reason=%s", request.request_id, error)
             return True
         except CloudRequestRejectedError as error:
             log.info("provisioning rejected type=%s zone=%s spot=%s reason=%s", *pending.pool, error)
--- a/spindleglade/fleet/termination.py
+++ b/spindleglade/fleet/termination.py
@@ -9,12 +9,8 @@
 from enum import StrEnum
 
 from spindleglade.fleet.capacity_backoff import CapacityBackoff
-from spindleglade.fleet.client import (
-    MAX_TERMINATED_PER_REQUEST,
-    CloudRequestRejectedError,
-    CloudTimeoutError,
-    LeadershipUnprovenError,
-)
+from spindleglade.fleet.client import MAX_TERMINATED_PER_REQUEST
+from spindleglade.fleet.errors import CloudError
 from spindleglade.fleet.machine_pool import MachinePool
 from spindleglade.fleet.parameters import AutoscalerContext
 from spindleglade.fleet.state import FleetState
@@ -90,7 +86,7 @@
             # Each attempt needs the proof of leadership: a leader that was suspended between two of them may
             # have a successor that uses the machines.
             await self._cloud.terminate(names, self._is_leadership_proven)
-        except (CloudRequestRejectedError, CloudTimeoutError, LeadershipUnprovenError) as error:
+        except CloudError as error:
             log.info("termination delayed machines=%s reason=%s", ",".join(names), error)
             return False
         except Exception:
--- a/spindleglade/fleet/test_autoscaler.py
+++ b/spindleglade/fleet/test_autoscaler.py
@@ -5,11 +5,7 @@
 from spindleglade.backfill.plan import Plan, UnplacedDemand
 from spindleglade.backfill.test_planner import job
 from spindleglade.fleet.autoscaler import Autoscaler
-from spindleglade.fleet.client import (
-    CloudTimeoutError,
-    InsufficientCapacityError,
-    LeadershipUnprovenError,
-)
+from spindleglade.fleet.errors import CloudTimeoutError, InsufficientCapacityError, LeadershipUnprovenError
 from spindleglade.fleet.messages import ListedMachine, MachineType
 from spindleglade.fleet.parameters import AutoscalerContext, MachineSupply, WorkerConnections
 from spindleglade.fleet.test_provisioning import TEAMS
--- a/spindleglade/fleet/test_client.py
+++ b/spindleglade/fleet/test_client.py
@@ -2,7 +2,8 @@
 
 from twisted.internet.defer import ensureDeferred
 
-from spindleglade.fleet.client import CloudClient, LeadershipUnprovenError
+from spindleglade.fleet.client import CloudClient
+from spindleglade.fleet.errors import LeadershipUnprovenError
 from spindleglade.http.client import ClientResponse
 from spindleglade.runtime.clock import ManualClock, seconds
 
