--- a/spindleglade/fleet/machine_types.py
+++ b/spindleglade/fleet/machine_types.py
@@ -1,6 +1,6 @@
-"""The machine types a node knows: asked of the cloud, and shared through the store.
+"""The machine types a controller knows: read from the cloud, and shared through the state service.
 
-A node that starts while the cloud does not answer still knows the types from the store's copy.
+A controller that starts while the cloud does not answer still knows the types from the stored copy.
 """
 
 import logging
@@ -26,38 +26,47 @@
 # What does not fit into the first value, one key after the other; the version before reads the first alone.
 MORE_TYPES = TYPES + "/"
 
+# Between two attempts to read the types while none are known: nothing can be accepted until then.
+UNKNOWN_TYPES_RETRY_DELAY = seconds(1)
+# The lowest rate at which images are taken to be fetched, so that fetching ends.
+MIN_PULL_GB_PER_S = 1e-3
+
 
 class MachineTypeCatalog:
+    """Keeps the machine types up to date: the leader's from the cloud, the others' from the store."""
+
     def __init__(
         self,
         cloud: CloudClient,
         client: StateClient,
         replica: Replica,
         clock: Clock,
-        every_s: float,
-        leads: Callable[[], bool],
+        refresh_interval_s: float,
+        is_leader: Callable[[], bool],
     ) -> None:
         self._cloud = cloud
         self._client = client
         self._replica = replica
         self._clock = clock
-        self._refresh_interval = seconds(every_s)
-        self._is_leader = leads
+        self._refresh_interval = seconds(refresh_interval_s)
+        self._is_leader = is_leader
         self.types: list[MachineType] = []
         # What the store holds, by key.
         self._stored_types: dict[str, list[MachineType]] = {}
         replica.subscribe(self.on_change)
 
     def on_change(self, key: str, value: bytes | None, mod_revision: int) -> None:
+        """Takes over the types of a stored value that has changed."""
         if value is None or not (key == TYPES or key.startswith(MORE_TYPES)):
             return
         self._stored_types[key] = msgspec.json.decode(value, type=MachineTypeList).types
         # The first is written with or after the others: with it all are known.
         if TYPES in self._stored_types and not self._is_leader():
-            keys = sorted(self._stored_types, key=lambda shared: (len(shared), shared))
-            self.types = [entry for shared in keys for entry in self._stored_types[shared]]
+            keys = sorted(self._stored_types, key=lambda stored: (len(stored), stored))
+            self.types = [entry for stored in keys for entry in self._stored_types[stored]]
 
     def machine_shapes(self) -> list[MachineShape] | None:
+        """What submissions are checked against; None while no types are known."""
         if not self.types:
             return None
         return [
@@ -66,22 +75,18 @@
         ]
 
     def capacities(self) -> dict[str, MachineTypeCapacity]:
-        return {
-            entry.name: MachineTypeCapacity(
-                entry.cpus, entry.gpus, entry.memory_gb, entry.cache_gb, max(entry.pull_gb_per_s, 1e-3)
-            )
-            for entry in self.types
-        }
+        """What machines of each type have, by the name of the type."""
+        return {entry.name: _capacity_of(entry) for entry in self.types}
 
     def start(self) -> None:
-        run_forever(self._clock, self._run, "types loop")
+        """Begins to read the types from the cloud, again and again."""
+        run_forever(self._clock, self._run, "machine types")
 
     async def _run(self) -> None:
         while True:
             if self._is_leader() or not self.types:
                 await self._refresh()
-            # While nothing is known nothing can be accepted, so it is asked for more often.
-            await sleep(self._clock, self._refresh_interval if self.types else seconds(1))
+            await sleep(self._clock, self._refresh_interval if self.types else UNKNOWN_TYPES_RETRY_DELAY)
 
     async def _refresh(self) -> None:
         try:
@@ -91,30 +96,46 @@
             return
         if not types:
             return
-        first = not self.types
+        were_unknown = not self.types
         self.types = types
-        if first:
+        if were_unknown:
             log.info("machine types known types=%s", ",".join(entry.name for entry in types))
         if TYPES not in self._replica.mod_revisions and self._replica.loaded:
             await self._store(types)
 
     async def _store(self, types: list[MachineType]) -> None:
-        """Writes them once, in as many values as it takes; that which all versions read comes last, and as
-        many types as fit are in it."""
-        puts = [
-            Put(f"{MORE_TYPES}{number}" if number else TYPES, encode_value(MachineTypeList(group)))
-            for number, group in enumerate(split_into_values(types, self._client.limits.value_bytes))
-        ]
+        """Writes the types once, in as many values as it takes. The value that all versions read comes last,
+        and as many types as fit are in it."""
+        puts = _puts(types, self._client.limits.value_bytes)
         missing = [put for put in reversed(puts) if put.key not in self._replica.mod_revisions]
-        most = self._client.limits.operations
+        max_operations = self._client.limits.operations
         try:
-            for at in range(0, len(missing), most):
-                part = missing[at : at + most]
-                result = await self._client.compare_and_swap([Condition(put.key, 0) for put in part], part)
+            for start in range(0, len(missing), max_operations):
+                batch = missing[start : start + max_operations]
+                conditions = [Condition(put.key, 0) for put in batch]
+                result = await self._client.compare_and_swap(conditions, batch)
                 if not isinstance(result, Committed):
                     return
         except (NotAppliedError, OutcomeUnknownError) as error:
-            log.info("machine types not shared reason=%s", error)
+            log.info("machine types not stored reason=%s", error)
+
+
+def _capacity_of(machine_type: MachineType) -> MachineTypeCapacity:
+    return MachineTypeCapacity(
+        machine_type.cpus,
+        machine_type.gpus,
+        machine_type.memory_gb,
+        machine_type.cache_gb,
+        max(machine_type.pull_gb_per_s, MIN_PULL_GB_PER_S),
+    )
+
+
+def _puts(types: list[MachineType], value_bytes: int) -> list[Put]:
+    """The values to be stored, the one that all versions read first."""
+    return [
+        Put(f"{MORE_TYPES}{number}" if number else TYPES, encode_value(MachineTypeList(group)))
+        for number, group in enumerate(split_into_values(types, value_bytes))
+    ]
 
 
 def split_into_values(types: list[MachineType], value_bytes: int) -> list[list[MachineType]]:
--- a/spindleglade/fleet/test_machine_types.py
+++ b/spindleglade/fleet/test_machine_types.py
@@ -1,4 +1,4 @@
-"""The machine types as they are shared through the store."""
+"""The machine types as they are shared through the state service."""
 
 import msgspec
 
@@ -16,9 +16,11 @@
 ]
 
 
-class Store:
-    def __init__(self, later):
-        self.limits = StateLimits(100.0, 40.0, 16.0, 12, later)
+class FakeStore:
+    """The replica and the client of the state service in one."""
+
+    def __init__(self, next_limits):
+        self.limits = StateLimits(100.0, 40.0, 16.0, 12, next_limits)
         self.mod_revisions, self.loaded, self.writes, self.subscribers = {}, True, [], []
 
     def subscribe(self, on_change):
@@ -27,45 +29,47 @@
     async def compare_and_swap(self, conditions, writes, urgent=False):
         assert len(writes) <= self.limits.operations
         assert all(len(put.value) <= self.limits.value_bytes for put in writes)
-        assert [(at.key, at.mod_revision) for at in conditions] == [(put.key, 0) for put in writes]
+        assert [(condition.key, condition.mod_revision) for condition in conditions] == [
+            (put.key, 0) for put in writes
+        ]
         self.writes.extend(writes)
         return Committed(len(self.writes))
 
 
-def share(later):
-    store = Store(later)
-    book = MachineTypeCatalog(None, store, store, ManualClock(), 1.0, lambda: False)
-    run_in_background(book._store(TYPES_OF_CLOUD), "sharing")
+def store_types(next_limits):
+    store = FakeStore(next_limits)
+    catalog = MachineTypeCatalog(None, store, store, ManualClock(), 1.0, lambda: False)
+    run_in_background(catalog._store(TYPES_OF_CLOUD), "storing")
     return store
 
 
-def read(puts):
-    store = Store(None)
-    book = MachineTypeCatalog(None, store, store, ManualClock(), 1.0, lambda: False)
+def read_types(puts):
+    store = FakeStore(None)
+    catalog = MachineTypeCatalog(None, store, store, ManualClock(), 1.0, lambda: False)
     for put in puts:
-        book.on_change(put.key, bytes(put.value), 1)
-    return book.types
+        catalog.on_change(put.key, bytes(put.value), 1)
+    return catalog.types
 
 
-def test_types_that_fit_are_one_value_as_ever():
-    (put,) = share(None).writes
+def test_types_that_fit_are_stored_as_one_value():
+    (put,) = store_types(None).writes
     assert (
         put.key == TYPES
         and put.value == encode_value(MachineTypeList(TYPES_OF_CLOUD))
-        and read([put]) == TYPES_OF_CLOUD
+        and read_types([put]) == TYPES_OF_CLOUD
     )
 
 
-def test_types_that_do_not_fit_are_several_and_the_first_key_comes_last():
-    store = share(NextStateLimits(value_kb=0.5, txn_ops=3))
+def test_types_that_do_not_fit_are_several_values_and_the_first_key_is_written_last():
+    store = store_types(NextStateLimits(value_kb=0.5, txn_ops=3))
     assert len(store.writes) > 3 and store.writes[-1].key == TYPES
-    assert read(store.writes) == TYPES_OF_CLOUD
-    assert read(store.writes[:-1]) == []
+    assert read_types(store.writes) == TYPES_OF_CLOUD
+    assert read_types(store.writes[:-1]) == []
     # The version before reads the first key alone.
     kept = msgspec.json.decode(store.writes[-1].value, type=MachineTypeList).types
     assert kept == TYPES_OF_CLOUD[: len(kept)] and kept
 
 
-def test_a_type_larger_than_a_value_is_a_group_of_its_own():
+def test_a_type_larger_than_a_value_is_a_value_of_its_own():
     assert split_into_values(TYPES_OF_CLOUD[:3], 1) == [[entry] for entry in TYPES_OF_CLOUD[:3]]
     assert split_into_values([], 1) == [[]]
