--- a/spindleglade/http/server.py
+++ b/spindleglade/http/server.py
@@ -92,6 +92,7 @@
 class _Channel(http.HTTPChannel):
     """An incoming connection."""
 
+    site: "HttpServer"
     # When the last request came, or else the connection; and whether a worker sent it.
     last_used_at = ZERO
     is_worker = False
--- a/spindleglade/store/client.py
+++ b/spindleglade/store/client.py
@@ -48,7 +48,7 @@
 LIST_TIMEOUT_FACTOR = 3
 # Bytes of a refusal's body that an error quotes.
 MAX_QUOTED_BYTES = 200
-# By these words in its body a refusal for an expired lease is told from one for the size, both of status 400.
+# A refusal of status 400 with these words in its body is for an expired lease, any other for the size.
 EXPIRED_LEASE_REFUSAL = b"no such lease"
 
 T = TypeVar("T")
