--- a/spindleglade/fleet/autoscaler.py
+++ b/spindleglade/fleet/autoscaler.py
@@ -42,7 +42,7 @@
         self._is_leadership_proven = context.is_leadership_proven
         self._state = state = FleetState(limits.lease)
         self._capacity_backoff = CapacityBackoff(
-            seconds(settings.refused_s), seconds(settings.refused_most_s)
+            seconds(settings.capacity_backoff_s), seconds(settings.max_capacity_backoff_s)
         )
         self._headroom = Headroom(context, supply, state)
         termination = MachineTermination(context, state, self._capacity_backoff, on_changed)
@@ -52,7 +52,7 @@
         self._machine_list = MachineListReader(
             context, supply, state, termination, connections.introduce_leader
         )
-        self._tasks = self._periodic_tasks(settings.list_s)
+        self._tasks = self._periodic_tasks(settings.list_interval_s)
 
     def _periodic_tasks(self, list_interval_s: float) -> tuple[PeriodicTask, ...]:
         wait_for_list = partial(sleep, self._clock, seconds(list_interval_s))
--- a/spindleglade/fleet/headroom.py
+++ b/spindleglade/fleet/headroom.py
@@ -16,7 +16,7 @@
     def __init__(self, context: AutoscalerContext, supply: MachineSupply, state: FleetState) -> None:
         self._cluster = context.cluster
         self._clock = context.clock
-        self._guarantee_share = context.settings.hold_guarantees
+        self._guarantee_share = context.settings.guarantee_headroom
         self._supply = supply
         self._state = state
         self._spare_cpus = 0.0
--- a/spindleglade/fleet/on_demand.py
+++ b/spindleglade/fleet/on_demand.py
@@ -18,17 +18,17 @@
 class OnDemandPolicy:
     """Follows since when jobs have unplaced demand, and says which of it may use on-demand machines.
 
-    - All tasks of a job that has waited for `ordinary_wait_s`.
+    - All tasks of a job that has waited for `on_demand_delay_s`.
     - The first tasks of an overdue job that has had no start: the planner sends an eighth of its tasks ahead.
-    - All tasks of a job that has waited for `no_spot_wait_s`, all that time without any spot machine that is
+    - All tasks of a job that has waited for `no_spot_delay_s`, all that time without any spot machine that is
       present or on its way.
 
     Best-effort work gets none: it is there to use what would be idle.
     """
 
     def __init__(self, settings: FleetSettings) -> None:
-        self._long_wait = seconds(settings.ordinary_wait_s)
-        self._no_spot_wait = seconds(settings.no_spot_wait_s)
+        self._long_wait = seconds(settings.on_demand_delay_s)
+        self._no_spot_wait = seconds(settings.no_spot_delay_s)
         # Since when each job has had unplaced demand.
         self._waiting_since: dict[str, timedelta] = {}
         # Since when no spot machine has been present or on its way.
--- a/spindleglade/fleet/parameters.py
+++ b/spindleglade/fleet/parameters.py
@@ -73,6 +73,6 @@
         policy, settings = context.cluster.policy, context.worker_settings
         return cls(
             probe=policy.heartbeat_interval * MISSED_HEARTBEATS + HEARTBEAT_TOLERANCE,
-            unanswered=max(policy.heartbeat_interval * settings.silent_reports, MIN_UNANSWERED_SILENCE),
+            unanswered=max(policy.heartbeat_interval * settings.missed_heartbeats, MIN_UNANSWERED_SILENCE),
             lease=policy.lease + seconds(settings.silence_margin_s),
         )
--- a/spindleglade/fleet/scale_in.py
+++ b/spindleglade/fleet/scale_in.py
@@ -73,10 +73,12 @@
     def _idle_limits(self) -> _IdleLimits:
         settings = self._settings
         if not self._headroom.is_needed:
-            return _IdleLimits(seconds(settings.idle_s), seconds(settings.idle_ordinary_s), math.inf)
+            return _IdleLimits(seconds(settings.idle_s), seconds(settings.on_demand_idle_s), math.inf)
         surplus_cpus = -self._headroom.deficit_cpus()
         # While there is work, an idle machine also keeps its cache of images.
-        limit = seconds(settings.idle_ready_s if self._headroom.has_open_jobs() else settings.idle_s)
+        limit = seconds(
+            settings.start_objective_idle_s if self._headroom.has_open_jobs() else settings.idle_s
+        )
         return _IdleLimits(limit, limit, surplus_cpus)
 
     def _loss_reason(self, machine: Machine, now: timedelta) -> TerminationReason | None:
--- a/spindleglade/fleet/test_on_demand.py
+++ b/spindleglade/fleet/test_on_demand.py
@@ -13,7 +13,7 @@
 
 SETTINGS = FleetSettings()
 TEAMS = {"t": Team("t", 8.0, 64.0), "guest": Team("guest", 0.0, 64.0)}
-LONG, NO_SPOT = seconds(SETTINGS.ordinary_wait_s), seconds(SETTINGS.no_spot_wait_s)
+LONG, NO_SPOT = seconds(SETTINGS.on_demand_delay_s), seconds(SETTINGS.no_spot_delay_s)
 START = seconds(100)
 
 
--- a/spindleglade/settings/operator.py
+++ b/spindleglade/settings/operator.py
@@ -50,7 +50,7 @@
     # How long after the end of its lease a silent machine is given up.
     silence_margin_s: Seconds = 1.0
     # Heartbeats that a machine which does not respond either must have missed to be given up earlier.
-    silent_reports: Seconds = 3.5
+    missed_heartbeats: Seconds = msgspec.field(name="silent_reports", default=3.5)
     # Margin between the end of the last lease that a controller renews on old knowledge of cancellations and
     # the time within which a cancellation takes effect.
     cancel_margin_s: Seconds = 3.0
@@ -71,29 +71,32 @@
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Provisioning and terminating machines."""
 
-    # How long a machine may be idle before it is terminated. The last applies, while there is work at all,
-    # where an objective of the deployment wants tasks to start sooner than a machine boots.
+    # How long a machine may be idle before it is terminated.
     idle_s: Seconds = 15.0
     # An on-demand machine where spot ones are preferred.
-    idle_ordinary_s: Seconds = 5.0
-    idle_ready_s: Seconds = 300.0
+    on_demand_idle_s: Seconds = msgspec.field(name="idle_ordinary_s", default=5.0)
+    # While there is work at all, where an objective of the deployment wants tasks to start sooner than a
+    # machine boots.
+    start_objective_idle_s: Seconds = msgspec.field(name="idle_ready_s", default=300.0)
     # Share of the teams' unused guarantees for which machines are kept running, where an objective says how
     # soon tasks have to start.
-    hold_guarantees: Annotated[float, msgspec.Meta(ge=0, le=10)] = 1.0
+    guarantee_headroom: Annotated[float, msgspec.Meta(ge=0, le=10)] = msgspec.field(
+        name="hold_guarantees", default=1.0
+    )
     # A machine without a heartbeat after this many times its nominal boot time is given up.
     boot_patience: Annotated[float, msgspec.Meta(ge=1, le=100)] = 2.5
     # First backoff after the cloud had no capacity, doubled each time up to the second figure. It ends when a
     # machine of that type is terminated.
-    refused_s: Seconds = 4.0
-    refused_most_s: Seconds = 30.0
+    capacity_backoff_s: Seconds = msgspec.field(name="refused_s", default=4.0)
+    max_capacity_backoff_s: Seconds = msgspec.field(name="refused_most_s", default=30.0)
     # Time between two requests of the list of machines, and of machine types.
-    list_s: Seconds = 4.0
+    list_interval_s: Seconds = msgspec.field(name="list_s", default=4.0)
     types_s: Seconds = 30.0
     # How long a job must have waited before on-demand machines are provisioned for it though it may use spot
     # ones. For best-effort jobs none are.
-    ordinary_wait_s: Seconds = 600.0
+    on_demand_delay_s: Seconds = msgspec.field(name="ordinary_wait_s", default=600.0)
     # The same while no spot machine is running or booting, so that the job starts at all.
-    no_spot_wait_s: Seconds = 20.0
+    no_spot_delay_s: Seconds = msgspec.field(name="no_spot_wait_s", default=20.0)
 
 
 class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/spindleglade/settings/platform.py
+++ b/spindleglade/settings/platform.py
@@ -15,6 +15,8 @@
 Address = Annotated[str, msgspec.Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 MAX_PORT = 65535
 MAX_IP_NUMBER = 255
+# The kind of objective that limits how long tasks wait for their start.
+WAIT_OBJECTIVE = "wait"
 
 
 class Peer(msgspec.Struct, frozen=True):
@@ -191,7 +193,9 @@
     @property
     def soonest_start(self) -> timedelta | None:
         """The shortest time within which an objective wants tasks to start."""
-        limits_s = [objective.within_s for objective in self.params.objectives if objective.kind == "wait"]
+        limits_s = [
+            objective.within_s for objective in self.params.objectives if objective.kind == WAIT_OBJECTIVE
+        ]
         return min((timedelta(seconds=limit) for limit in limits_s if limit is not None), default=None)
 
 
