--- a/spindleglade/backfill/test_distributions.py
+++ b/spindleglade/backfill/test_distributions.py
@@ -1,4 +1,4 @@
-"""Bins, the cut of Algorithm 1, and what enters a team's history."""
+"""Bins, Algorithm 1, and the histories of teams."""
 
 import math
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 
 @given(models, st.floats(0, 1000), st.floats(0.1, 2000))
-def test_the_cut_is_algorithm_1(counts, elapsed, bound):
+def test_what_remains_of_a_distribution_is_algorithm_1(counts, elapsed, bound):
     model = np.array(counts, float) / sum(counts)
     ends, weights = BINS.remaining(model, elapsed, bound)
     assert abs(weights.sum() - 1) < 1e-9
@@ -32,10 +32,10 @@
         low, high = max(start, min(elapsed, end)), min(end, max(bound, start))
         expected.append(max(0.0, weight * math.log(high / low)) / math.log(1.8))
     if elapsed < bound and sum(expected) > 1e-12:
-        kept = [share / sum(expected) for share in expected if share > 0]
-        assert np.allclose(weights, kept, atol=1e-6)
+        shares = [share / sum(expected) for share in expected if share > 0]
+        assert np.allclose(weights, shares, atol=1e-6)
     elif elapsed >= bound:
-        # Past its bound a task goes wholly into the next bin.
+        # A task past its bound is put into the next bin.
         assert len(ends) == 1 and ends[0] == BINS.ends[BINS.index(elapsed) + 1]
 
 
@@ -62,29 +62,29 @@
 
 
 def test_a_team_without_history_is_predicted_by_the_estimate():
-    predictor = Predictor(BINS, needed=3, kept=100)
+    predictor = Predictor(BINS, min_runs=3, max_runs=100)
     predictor.add("a", seconds(5))
     ends, weights = predictor.remaining("a", seconds(60), seconds(20))
     assert list(ends) == [40.0] and list(weights) == [1.0]
 
 
 def test_history_replaces_the_estimate_once_there_is_enough():
-    predictor = Predictor(BINS, needed=3, kept=100)
+    predictor = Predictor(BINS, min_runs=3, max_runs=100)
     for run in (2, 20, 20):
         predictor.add("a", seconds(run))
     ends, weights = predictor.remaining("a", seconds(60), seconds(0))
     assert len(ends) == 2 and np.allclose(weights, [1 / 3, 2 / 3])
-    # What has run past the short bin can only be the long one.
+    # A task that has run past the short bin can only be a long one.
     ends, weights = predictor.remaining("a", seconds(60), seconds(10))
     assert list(weights) == [1.0] and ends[0] < 25
     assert list(predictor.remaining("b", seconds(7), seconds(0))[0]) == [7.0]
 
 
 def test_history_survives_a_change_of_leader():
-    predictor = Predictor(BINS, needed=3, kept=100)
+    predictor = Predictor(BINS, min_runs=3, max_runs=100)
     for run in (2, 20, 20):
         predictor.add("a", seconds(run))
-    successor = Predictor(BINS, needed=3, kept=100)
+    successor = Predictor(BINS, min_runs=3, max_runs=100)
     successor.load("a", predictor.export("a"))
     for ours, theirs in zip(
         predictor.remaining("a", seconds(9), seconds(1)),
--- a/spindleglade/backfill/urgency.py
+++ b/spindleglade/backfill/urgency.py
@@ -1,8 +1,8 @@
-"""Priority and deadline that a job takes over from the jobs that need it.
+"""The priority and the deadline that a job inherits from its dependents.
 
-A pipeline's users set the priority and the deadline that they care about on its last job. Each job before it
-takes the highest priority of itself and all that need it, and must be done early enough for those after it:
-the earliest of its own deadline and, for each dependent, that one's deadline less its expected run time.
+Users set the priority and the deadline that they care about on the last job of a pipeline. Each job before
+it has the highest priority of itself and its dependents, and must be done early enough for those: by the
+earliest of its own deadline and, for each dependent, that one's deadline less its expected run time.
 """
 
 from collections.abc import Mapping, Sequence
@@ -11,19 +11,19 @@
 
 
 class ChainedJob(NamedTuple):
-    """An unfinished job as a part of its pipelines."""
+    """An unfinished job of a pipeline."""
 
     rank: int
-    # When it should be done by its own deadline; None: at no particular time.
+    # Its own deadline; None if it has none.
     deadline: timedelta | None
-    # How long its tasks are expected to run.
+    # The expected run time of its tasks.
     expected: timedelta
-    # The jobs that need it directly. Those that are not unfinished themselves are ignored.
+    # Its direct dependents. Those that are finished are ignored.
     dependents: Sequence[str]
 
 
 class Urgency(NamedTuple):
-    """What a job's own priority and deadline become through the jobs that need it."""
+    """A job's priority and deadline, those of its dependents included."""
 
     rank: int
     deadline: timedelta | None
@@ -41,18 +41,20 @@
             dependencies.setdefault(other, []).append(name)
     unresolved = {name: len(others) for name, others in dependents.items()}
     ready = [name for name, count in unresolved.items() if count == 0]
-    found: dict[str, Urgency] = {}
+    urgency_by_job: dict[str, Urgency] = {}
     while ready:
         name = ready.pop()
-        found[name] = _combine(jobs[name], [(jobs[other], found[other]) for other in dependents[name]])
+        inherited = [(jobs[other], urgency_by_job[other]) for other in dependents[name]]
+        urgency_by_job[name] = _combine(jobs[name], inherited)
         for dependency in dependencies.get(name, ()):
             unresolved[dependency] -= 1
             if unresolved[dependency] == 0:
                 ready.append(dependency)
-    return found
+    return urgency_by_job
 
 
 def _combine(job: ChainedJob, dependents: list[tuple[ChainedJob, Urgency]]) -> Urgency:
+    """The urgency of a job from its own and that of its dependents."""
     rank = max([job.rank, *(urgency.rank for _, urgency in dependents)])
     deadlines = [] if job.deadline is None else [job.deadline]
     for dependent, urgency in dependents:
