--- a/spindleglade/leadership/test_election.py
+++ b/spindleglade/leadership/test_election.py
@@ -14,6 +14,48 @@
 from spindleglade.store.messages import Committed, Condition, ConditionFailed
 from tests.simulated_deployment import SimulatedDeployment
 
+LEASE_TTL = seconds(4)
+# Longer than the jitter of a campaign.
+CAMPAIGN_DURATION = seconds(0.1)
+
+
+class FakeReplica:
+    """A loaded replica of an empty store."""
+
+    def __init__(self):
+        self.loaded = True
+        self.mod_revisions = {}
+
+    def subscribe(self, on_change):
+        self.on_change = on_change
+
+    async def catch_up(self):
+        pass
+
+
+class FakeStore:
+    """A store that grants a lease and commits the transaction of the campaign."""
+
+    async def grant_lease(self, ttl):
+        return 5
+
+    async def compare_and_swap(self, conditions, writes, urgent=False):
+        return Committed(9)
+
+    async def revoke_lease(self, lease):
+        pass
+
+
+def record_tokens(controller, tokens):
+    """Appends the token of each election that the controller wins."""
+    handlers = controller.election._handlers
+
+    def on_elected(term):
+        tokens.append(term.token)
+        handlers.on_elected(term)
+
+    controller.election._handlers = dataclasses.replace(handlers, on_elected=on_elected)
+
 
 @pytest.mark.parametrize("seed", range(4))
 def test_leaders_follow_one_another_with_rising_tokens(seed):
@@ -22,18 +64,8 @@
     rng = random.Random(seed)
     deployment = SimulatedDeployment(seed)
     tokens: list[int] = []
-
-    def record_elections(controller):
-        handlers = controller.election._handlers
-
-        def on_elected(term):
-            tokens.append(term.token)
-            handlers.on_elected(term)
-
-        controller.election._handlers = dataclasses.replace(handlers, on_elected=on_elected)
-
     for controller in deployment.controllers.values():
-        record_elections(controller)
+        record_tokens(controller, tokens)
     for _ in range(6):
         deployment.run(seconds(rng.uniform(1, 5)))
         fault = rng.choice(["kill", "outage", "refuse"])
@@ -42,7 +74,7 @@
             deployment.processes.kill(leader)
             deployment.run(seconds(rng.uniform(0.1, 5)))
             deployment.processes.start(leader)
-            record_elections(deployment.controllers[deployment.controller_names[leader]])
+            record_tokens(deployment.controllers[deployment.controller_names[leader]], tokens)
         elif fault == "outage":
             deployment.state.outage(seconds(rng.uniform(0.5, 6)))
         elif leader is not None:
@@ -93,16 +125,7 @@
     """Another controller is elected while this one's lease is being granted. The conditions must be those of
     the vacancy, or this one would depose it at once."""
 
-    class Replica:
-        loaded, mod_revisions = True, {}
-
-        def subscribe(self, on_change):
-            self.on_change = on_change
-
-        async def catch_up(self):
-            pass
-
-    class Store:
+    class Store(FakeStore):
         async def grant_lease(self, ttl):
             replica.mod_revisions[LEADER] = 9
             replica.on_change(LEADER, msgspec.json.encode(LeaderRecord("other", 1)), 9)
@@ -112,13 +135,10 @@
             conditions_sent.extend(conditions)
             return ConditionFailed(frozenset([LEADER]), 9)
 
-        async def revoke_lease(self, lease):
-            pass
-
-    conditions_sent, replica, clock = [], Replica(), ManualClock()
+    conditions_sent, replica, clock = [], FakeReplica(), ManualClock()
     handlers = ElectionHandlers(on_elected=None, on_deposed=None)
-    Election("me", Store(), replica, clock, seconds(4), handlers).start()
-    clock.advance(seconds(0.1))
+    Election("me", Store(), replica, clock, LEASE_TTL, handlers).start()
+    clock.advance(CAMPAIGN_DURATION)
     assert Condition(LEADER, 0) in conditions_sent
 
 
@@ -127,33 +147,18 @@
     """The response to the winning transaction is slow, and the replica shows first what came after it. A term
     that began then would last until the next change of the leader key."""
 
-    class Replica:
-        loaded, mod_revisions = True, {}
-
-        def subscribe(self, on_change):
-            self.on_change = on_change
-
-        async def catch_up(self):
-            pass
-
-    class Store:
-        async def grant_lease(self, ttl):
-            return 5
-
+    class Store(FakeStore):
         async def compare_and_swap(self, conditions, writes, urgent=False):
             replica.on_change(LEADER, msgspec.json.encode(LeaderRecord("me", 1)), 9)
             replica.on_change(LEADER, None if later is None else msgspec.json.encode(later), 10)
             return Committed(9)
 
-        async def revoke_lease(self, lease):
-            pass
-
         async def keep_alive(self, lease):
             raise NotAppliedError("503")
 
-    terms, replica, clock = [], Replica(), ManualClock()
+    terms, replica, clock = [], FakeReplica(), ManualClock()
     handlers = ElectionHandlers(terms.append, on_deposed=None, may_campaign=lambda: not terms)
-    election = Election("me", Store(), replica, clock, seconds(4), handlers)
+    election = Election("me", Store(), replica, clock, LEASE_TTL, handlers)
     election.start()
     clock.advance(seconds(0.06))
     assert not terms and election.term is None
@@ -189,26 +194,11 @@
 def test_a_rate_limited_renewal_is_retried_before_the_lease_expires():
     """If it were retried each quarter of the lease, four refusals would end the lease."""
 
-    class Replica:
-        loaded, mod_revisions = True, {}
-
-        def subscribe(self, on_change):
-            pass
-
-        async def catch_up(self):
-            pass
-
-    class Store:
+    class Store(FakeStore):
         renewed_at, refusals_left, pauses = seconds(0), 0, []
 
-        async def grant_lease(self, ttl):
-            return 5
-
-        async def compare_and_swap(self, conditions, writes, urgent=False):
-            return Committed(9)
-
         async def keep_alive(self, lease):
-            assert clock.now() - self.renewed_at < seconds(4)
+            assert clock.now() - self.renewed_at < LEASE_TTL
             if self.refusals_left:
                 self.refusals_left -= 1
                 raise RateLimitedError("429")
@@ -219,10 +209,10 @@
 
     store, clock = Store(), ManualClock()
     handlers = ElectionHandlers(on_elected=lambda term: None, on_deposed=None)
-    election = Election("me", store, Replica(), clock, seconds(4), handlers)
+    election = Election("me", store, FakeReplica(), clock, LEASE_TTL, handlers)
     election.start()
     for _ in range(20):
         clock.advance(seconds(1))
-    assert election.term is not None and clock.now() - store.renewed_at < seconds(4)
+    assert election.term is not None and clock.now() - store.renewed_at < LEASE_TTL
     # Ordinary requests pause until after the next retry.
-    assert store.pauses and min(store.pauses) > seconds(4 * RETRY_SHARE)
+    assert store.pauses and min(store.pauses) > LEASE_TTL * RETRY_SHARE
