--- /dev/null
+++ b/tests/test_combined_faults_of_placement.py
@@ -0,0 +1,267 @@
+"""Two faults at once, and where and when tasks run then: limits, zones, held commands, and load.
+
+SimulatedDeployment.run checks every rule all the time; `settle` asks at the end that all is served again. The
+table in docs/meetings.md says which test brings about which combination, and which guard was seen to hold it.
+"""
+
+import pytest
+
+from spindleglade.runtime.clock import seconds
+from tests.deployment_config import CANCEL, DeploymentConfig
+from tests.simulated_deployment import SimulatedDeployment
+from tests.workloads import ROOMY, address, busy, running, settle
+
+# Limits.
+
+
+@pytest.mark.parametrize("seed", range(4))
+@pytest.mark.parametrize("how", ["cut", "held", "hang", "deaf"])
+def test_every_team_is_at_its_limit_while_cancelled_work_cannot_be_reached(seed, how):
+    """And the leader changes. What is not proven gone counts: the limits are checked at each start."""
+    teams = tuple({"name": name, "cpus": 8.0, "cpus_max": 12.0} for name in ("red", "blue"))
+    deployment = SimulatedDeployment(
+        400 + seed, config=DeploymentConfig(capacity=8, teams=teams, lease=seconds(12))
+    )
+    deployment.run(seconds(3))
+    jobs = [
+        deployment.users.submit(number, crew=crew, threads=8, vcpus=2.0, run_s=25.0, knot_s=2.0)
+        for number, crew in enumerate(["red", "blue"] * 2)
+    ]
+    deployment.run(seconds(15))
+    assert deployment.executions.cpus_in_use == {"red": 12.0, "blue": 12.0}
+    length = seconds(4 if seed % 2 else 22)
+    for name in sorted({machine for job in jobs[:2] for machine in deployment.executions.machines_of(job)})[
+        :3
+    ]:
+        if how in ("cut", "held"):
+            deployment.network.cut(
+                address(deployment, name), deployment.controller_names, how == "held", length
+            )
+        elif how == "deaf":
+            deployment.faults.make_unreachable(address(deployment, name), length)
+        else:
+            deployment.faults.hang(name, length)
+    if seed < 2:
+        deployment.users.cancel(jobs[0])
+        deployment.users.cancel(jobs[1])
+        deployment.run(seconds(deployment.rng.uniform(0, 5)))
+        deployment.faults.restart(deployment.leader(), seconds(0.3))
+    else:
+        # The cancellation falls into the spell in which the new leader cannot ask.
+        deployment.faults.restart(deployment.leader(), seconds(0.3))
+        deployment.run(seconds(1.5))
+        deployment.users.cancel(jobs[0])
+        deployment.users.cancel(jobs[1])
+    deployment.run(seconds(12))
+    deployment.faults.restart(deployment.leader(), seconds(0.5))
+    settle(deployment, 170)
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_a_held_start_of_the_old_leader_counts_until_it_cannot_land(seed):
+    """The team is at its limit by a job whose starts are held up on their way. The leader ends, the job is
+    cancelled, and the machines do not hear the new leader: what they report, under the old token, without
+    those tasks, shows nothing, for the starts still land. The team's next job may not run beside them."""
+    teams = ({"name": "red", "cpus": 4.0, "cpus_max": 4.0}, {"name": "blue", "cpus": 40.0, "cpus_max": 80.0})
+    deployment = SimulatedDeployment(
+        440 + seed, config=DeploymentConfig(capacity=4, teams=teams, lease=seconds(8))
+    )
+    deployment.cloud.never_up = 0.0
+    deployment.run(seconds(3))
+    running(deployment, 4, vcpus=8.0, run_s=[9.0], crew="blue")
+    old = deployment.leader()
+    for worker in deployment.workers.values():
+        worker.at = (old + 1) % 3
+    deployment.run(seconds(9))
+    machines = [worker.machine.address for worker in deployment.workers.values() if not worker.gone]
+    assert len(machines) == 4
+    deployment.network.cut(deployment.controller_names[old], machines, True, seconds(9.5 + seed / 4))
+    first = deployment.users.submit(100, crew="red", threads=2, vcpus=2.0, run_s=20.0)
+    while not any(one.starts_in_flight for one in deployment.placed_attempts()):
+        deployment.run(seconds(0.05))
+    at = {address(deployment, one.machine) for one in deployment.placed_attempts() if one.job.id == first}
+    deployment.processes.kill(old)
+    deployment.users.cancel(first)
+    second = deployment.users.submit(101, crew="red", threads=2, vcpus=2.0, run_s=20.0)
+    deployment.run(seconds(3.5))
+    # Their leases were renewed by a sibling until now; the new leader comes.
+    for machine in at:
+        deployment.faults.make_unreachable(machine, seconds(7))
+    deployment.run(seconds(6))
+    assert deployment.leader() not in (None, old) and deployment.jobs.cancelled_at
+    deployment.processes.start(old)
+    settle(deployment, 90)
+    assert deployment.jobs.observed_states[second] == "done"
+
+
+# Placement.
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_jobs_bound_to_zones_lose_machines(seed):
+    """Jobs of one zone, together and scattered ones: machines die, are taken or fall behind a cut, zones and
+    leaders too. The deployment checks each place."""
+    deployment = SimulatedDeployment(500 + seed, config=DeploymentConfig(capacity=10, teams=ROOMY))
+    deployment.run(seconds(3))
+    for number in range(24):
+        how = [{"glade": "a"}, {"glade": "b"}, {"together": True}, {"scatter": True}][number % 4]
+        fields = {
+            "threads": deployment.rng.choice([1, 3, 5]),
+            "vcpus": 2.0,
+            "run_s": 6.0,
+            "crew": "red",
+        } | how
+        deployment.clock.later(
+            seconds(number), lambda n=number, f=fields: deployment.users.submit_and_poll(n, **f)
+        )
+
+    def lose():
+        living = sorted(name for name, worker in deployment.workers.items() if not worker.gone)
+        if living:
+            name = deployment.rng.choice(living)
+            how = deployment.rng.choice(["dies", "taken", "cut"])
+            if how == "dies":
+                deployment.faults.kill_machine(name)
+            elif how == "taken":
+                deployment.faults.give_notice(name, seconds(3))
+            else:
+                deployment.network.cut(
+                    address(deployment, name), deployment.controller_names, True, seconds(9)
+                )
+
+    for at in range(4, 28, 3):
+        deployment.clock.later(seconds(at), lose)
+    deployment.clock.later(seconds(10), deployment.network.cut_zone, "ab"[seed % 2], seed < 2, seconds(12))
+    deployment.clock.later(
+        seconds(14),
+        deployment.faults.restart_leader,
+        seconds(1),
+    )
+    deployment.run(seconds(32))
+    settle(deployment, 120)
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease(seed):
+    """What users cancel meanwhile ends in time, and nothing runs twice."""
+    deployment = SimulatedDeployment(520 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment.run(seconds(3))
+    running(deployment, 10, vcpus=2.0, run_s=30.0)
+    deployment.network.cut_zone("ab"[seed % 2], seed < 2, seconds(30))
+    deployment.run(seconds(2))
+    deployment.faults.cancel_running(4, seconds(0))
+    deployment.run(seconds(35))
+    assert len(deployment.jobs.cancelled_at) >= 3
+    settle(deployment, 120)
+
+
+@pytest.mark.parametrize("seed", range(4))
+@pytest.mark.parametrize("relayed", [True, False])
+def test_a_start_is_held_up_and_its_job_cancelled(seed, relayed):
+    """The way from the leader to a machine holds all back, while the machine's reports come by way of a
+    sibling, so that its lease goes on; or the sibling reaches the store alone, and renews it by itself. The
+    cloud takes nothing back meanwhile. The start must not land after a cancellation's time."""
+    # Too few machines for the leader to take itself for the one that is not heard.
+    deployment = SimulatedDeployment(540 + seed, config=DeploymentConfig(capacity=2, teams=ROOMY))
+    deployment.cloud.never_up = 0.0
+    deployment.run(seconds(3))
+    running(deployment, 2, vcpus=6.0, run_s=8.0)
+    leader = deployment.leader()
+    for worker in deployment.workers.values():
+        worker.at = (leader + 1) % 3
+    deployment.run(seconds(3))
+    machines = [worker.machine.address for worker in deployment.workers.values()]
+    deployment.network.cut(deployment.controller_names[leader], machines, True, CANCEL + seconds(10))
+    deployment.cloud.trouble = True
+    deployment.clock.later(CANCEL + seconds(20), setattr, deployment.cloud, "trouble", False)
+    jobs = [deployment.users.submit(100 + number, threads=2, vcpus=1.0, run_s=30.0) for number in range(2)]
+    deployment.run(seconds(1))
+    assert any(assignment.starts_in_flight for assignment in deployment.placed_attempts()), (
+        "a start is on its way"
+    )
+    near, far = (deployment.controller_names[(leader + step) % 3] for step in (1, 2))
+    if not relayed:
+        deployment.network.cut(near, deployment.controller_names, False, CANCEL + seconds(8))
+        deployment.network.cut(far, machines, False, CANCEL + seconds(8))
+    for job in jobs:
+        deployment.users.cancel(job)
+    deployment.run(CANCEL + seconds(20))
+    assert deployment.leader() == leader or not relayed
+    settle(deployment, 120)
+
+
+@pytest.mark.parametrize("seed", range(3))
+def test_mute_machines_get_no_work_that_they_would_lose(seed):
+    """They reach no controller, so that their leases run out, though direct commands reach them."""
+    deployment = SimulatedDeployment(560 + seed, config=DeploymentConfig(capacity=6, teams=ROOMY))
+    deployment.cloud.never_up = 0.0
+    deployment.run(seconds(3))
+    running(deployment, 6, vcpus=8.0, run_s=8.0)
+    for worker in list(deployment.workers.values())[: len(deployment.workers) // 2]:
+        if not worker.gone:
+            deployment.faults.stop_heartbeats(worker.machine.address, seconds(90))
+    before = deployment.executions.started
+    jobs = [deployment.users.submit(100 + number, threads=1, vcpus=8.0, run_s=14.0) for number in range(5)]
+    for job in jobs:
+        deployment.users.poll_until_over(job)
+    deployment.run(seconds(75))
+    assert all(deployment.jobs.observed_states[job] == "done" for job in jobs), (
+        deployment.jobs.observed_states
+    )
+    assert deployment.executions.started - before <= len(jobs) + 6
+    settle(deployment)
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_cancelled_work_on_machines_that_hang(seed):
+    """Commands and answers are held up for seconds, and the machines then go on, some within their lease."""
+    deployment = SimulatedDeployment(580 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    busy(deployment, 60, cancelled=0.1)
+    for at in range(5, 30, 4):
+        deployment.clock.later(
+            seconds(at), deployment.faults.cancel_running, 4, seconds([2.5, 5, 8, 25][seed])
+        )
+    deployment.clock.later(
+        seconds(16),
+        deployment.faults.restart_leader,
+        seconds(1),
+    )
+    deployment.run(seconds(35))
+    assert deployment.counts["hung"] > 4 and deployment.counts["cancelled now"] > 10
+    settle(deployment, 90)
+
+
+# Load.
+
+
+def test_one_task_jobs_come_four_a_second_for_minutes():
+    """A quarter of them cancelled. Few changes of the store are made for each."""
+    deployment = SimulatedDeployment(
+        600, config=DeploymentConfig(capacity=12, teams=ROOMY, write_rps=40.0, rps=100.0)
+    )
+    deployment.run(seconds(3))
+    first = deployment.state.changes
+    busy(deployment, 480, every=0.25, cancelled=0.25, threads=1, vcpus=1.0, run_s=4.0)
+    deployment.run(seconds(125))
+    settle(deployment, 30)
+    # Accepted, placed, done, and its chunk removed; or cancelled instead of the last two.
+    changes = (deployment.state.changes - first) / 480
+    assert changes < 4.2, changes
+    assert deployment.state.too_many < 50
+
+
+def test_more_work_than_room_over_slow_links():
+    """Urgent and not, for five minutes. The largest jobs are the least urgent; they begin in time all the
+    same, and every class and team is served."""
+    deployment = SimulatedDeployment(620, config=DeploymentConfig(capacity=5, teams=ROOMY))
+    deployment.run(seconds(3))
+    deployment.faults.during(seconds(300), "slow_links", seconds(0.4))
+    for number in range(4):
+        fields = {"threads": 2, "vcpus": 8.0, "run_s": 6.0, "urgency": "best_effort", "bobbin": "large"}
+        deployment.clock.later(
+            seconds(10 + number * 5),
+            lambda n=number, f=fields: deployment.users.submit_and_poll(500 + n, **f),
+        )
+    busy(deployment, 170, every=1.7, cancelled=0.1, urgency="critical", threads=3, vcpus=3.0, run_s=8.0)
+    deployment.run(seconds(300))
+    settle(deployment, 300)
--- /dev/null
+++ b/tests/test_combined_faults_of_store.py
@@ -0,0 +1,139 @@
+"""Two faults at once, of the store and of what users ask meanwhile.
+
+SimulatedDeployment.run checks every rule all the time; `settle` asks at the end that all is served again. The
+table in docs/meetings.md says which test brings about which combination, and which guard was seen to hold it.
+"""
+
+import pytest
+
+from spindleglade.runtime.clock import seconds
+from tests.deployment_config import CANCEL, DeploymentConfig
+from tests.simulated_deployment import SimulatedDeployment
+from tests.workloads import ROOMY, busy, running, settle, stages_everywhere
+
+# Store.
+
+
+@pytest.mark.parametrize("seed, at_end", [*((seed, 0.0) for seed in range(6)), (0, 0.6), (2, 0.6), (4, 0.6)])
+@pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
+def test_transactions_without_an_answer(seed, at_end, which):
+    """Carried out late, after newer ones of the same controller, or at once with only the answer lost while
+    other nodes read what they wrote; users look closely and cancel at an end, and the leader ends amid it."""
+    deployment = SimulatedDeployment(100 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    busy(deployment, 40)
+    deployment.clock.later(
+        seconds(3), deployment.faults.during, seconds(30), which, 0.5 if which == "late_writes" else 0.35
+    )
+    deployment.clock.later(seconds(3), deployment.faults.during, seconds(30), "poll_everywhere", True)
+    deployment.clock.later(seconds(3), deployment.faults.during, seconds(30), "cancel_at_end", at_end)
+    for at in (9, 18, 27):
+        deployment.clock.later(
+            seconds(at),
+            deployment.faults.restart_leader,
+            seconds(2),
+        )
+    deployment.run(seconds(35))
+    assert deployment.counts["astray"] > 5 and deployment.counts["astray carried out"] > 2
+    assert deployment.counts["close looks"] > 20
+    settle(deployment)
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_new_machines_get_work_while_writes_lag_and_the_leader_ends(seed):
+    """They are up within two seconds; what is recorded about them comes late, and another leads by then."""
+    deployment = SimulatedDeployment(120 + seed, config=DeploymentConfig(capacity=10, teams=ROOMY))
+    deployment.cloud.boot_s = (0.2, 1.5)
+    deployment.run(seconds(3))
+    deployment.faults.during(seconds(25), "late_writes", 0.3)
+    for number in range(12):
+        deployment.clock.later(
+            seconds(number * 1.5),
+            lambda n=number: deployment.users.submit_and_poll(n, threads=3, vcpus=4.0, run_s=6.0),
+        )
+    for at in (2.5, 6, 11, 17):
+        deployment.clock.later(
+            seconds(at),
+            deployment.faults.restart_leader,
+            seconds(0.5),
+        )
+    deployment.run(seconds(25))
+    assert len(deployment.workers) > 4 and deployment.counts["leaders"] > 3
+    settle(deployment)
+
+
+@pytest.mark.parametrize("seed", range(6))
+def test_the_gap(seed):
+    """The store refuses the leader alone; jobs are cancelled at the other nodes in that second; then it is
+    down for all, for longer than a cancellation may take."""
+    deployment = SimulatedDeployment(140 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment.run(seconds(3))
+    # Others go on, so that the leader keeps its fleet and its workers their sessions.
+    jobs = running(deployment, 12, vcpus=2.0, run_s=90.0)
+    busy(deployment, 10, cancelled=0.5)
+    deployment.run(seconds(4))
+    deployment.faults.refuse_leader_then_outage(seconds(12), CANCEL * 2)
+    deployment.faults.cancel_running(8, seconds(0))
+    deployment.run(seconds(0.9))
+    assert len(deployment.jobs.cancelled_at) >= 4, "confirmed before the outage"
+    assert set(jobs) - deployment.jobs.cancel_requested
+    deployment.run(seconds(50))
+    settle(deployment, 200)
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_a_slow_store_refuses_the_leader_and_then_everybody(seed):
+    """While users cancel and ask."""
+    deployment = SimulatedDeployment(160 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    busy(deployment, 60, cancelled=0.4)
+    deployment.clock.later(seconds(4), deployment.faults.during, seconds(20), "slow_store", seconds(1.2))
+    deployment.clock.later(seconds(4), deployment.faults.during, seconds(60), "poll_everywhere", True)
+    deployment.clock.later(
+        seconds(12), deployment.faults.refuse_leader_then_outage, seconds(10), CANCEL + seconds(4)
+    )
+    deployment.clock.later(seconds(42), deployment.faults.during, seconds(10), "slow_store", seconds(2.5))
+    deployment.run(seconds(60))
+    settle(deployment, 90)
+
+
+# Answers.
+
+
+@pytest.mark.parametrize("seed", range(6))
+def test_close_looks(seed):
+    """All nodes are asked within milliseconds, again and again, and the submission repeated, after every
+    answer that said something new; a third of the jobs are cancelled at once, and half of those that end at
+    the moment of the end. All nodes then say the same for good."""
+    deployment = SimulatedDeployment(200 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment.run(seconds(3))
+    deployment.faults.during(seconds(30), "poll_everywhere", True)
+    deployment.faults.during(seconds(30), "cancel_at_once", 0.3)
+    deployment.faults.during(seconds(30), "cancel_at_end", 0.5)
+    if seed % 2:
+        deployment.faults.during(seconds(30), "lost_answers", 0.2)
+    busy(deployment, 60, every=0.4, cancelled=0.2)
+    deployment.run(seconds(30))
+    assert deployment.counts["cancelled at its end"] > 3 and deployment.counts["close looks"] > 60
+    settle(deployment)
+    assert "done" in {deployment.jobs.observed_states[job] for job in deployment.jobs.cancel_requested}
+    for job in sorted(deployment.jobs.cancel_requested)[:8]:
+        ((status, _),) = stages_everywhere(deployment, job)
+        assert status == 200
+
+
+def test_odd_requests():
+    """Repeats of what is under way, cancellations of what is done, and jobs that can never run, while the
+    store is slow and refuses nodes."""
+    deployment = SimulatedDeployment(220, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment.run(seconds(3))
+    busy(deployment, 40)
+    deployment.invalid_requests.send_for(seconds(40))
+    deployment.clock.later(seconds(5), deployment.faults.during, seconds(10), "slow_store", seconds(0.5))
+    deployment.clock.later(seconds(10), deployment.faults.refuse, 0, seconds(6))
+    deployment.clock.later(seconds(14), deployment.faults.outage, seconds(5))
+    deployment.clock.later(seconds(25), deployment.faults.restart, 1, seconds(1))
+    deployment.run(seconds(45))
+    assert deployment.counts["odd 400"] > 5 and deployment.counts["odd 422"] > 5
+    settle(deployment)
+    for job in deployment.jobs.invalid:
+        ((status, _),) = stages_everywhere(deployment, job)
+        assert status == 404
--- /dev/null
+++ b/tests/test_pipeline_submissions.py
@@ -0,0 +1,155 @@
+"""Which lists of dependencies a submission may have, and what is answered to the others.
+
+SimulatedDeployment.run checks the rules of chained jobs all the time, `settle` that all is served in the end.
+"""
+
+import msgspec
+import pytest
+
+from spindleglade.runtime.background import run_in_background
+from spindleglade.runtime.clock import seconds
+from tests.fakes.encoding import encode
+from tests.pipeline_deployments import LONG, post, ready
+from tests.pipelines import chain
+from tests.recorded_day import answers_everywhere
+from tests.waiting import run_until
+
+
+@pytest.mark.parametrize("node", range(3))
+def test_a_job_that_names_one_never_accepted_gets_422(node):
+    deployment, pipelines = ready(450)
+    pipeline = pipelines.begin(chain(1), **LONG)
+    run_until(deployment, lambda: pipeline.complete)
+    for number, awaits in enumerate((["job-999999"], [pipeline.job(0), "job-999999"], ["job-000500"])):
+        body = dict(
+            deployment.jobs.descriptions[pipeline.job(0)], ref=f"job-{500 + number:06d}", awaits=awaits
+        )
+        status, _ = post(deployment, body, deployment.controller_names[node])
+        assert status == 422, awaits
+        # It was never accepted.
+        assert all(status == 404 for status, _ in answers_everywhere(deployment, [body["ref"]]).values())
+
+
+@pytest.mark.parametrize(
+    "awaits",
+    [
+        "job-001000",
+        5,
+        {},
+        True,
+        [5],
+        [None],
+        ["1000"],
+        ["job-"],
+        ["job-1 "],
+        ["job-" + "1" * 61],
+        [["job-001000"]],
+    ],
+    ids=str,
+)
+def test_what_is_no_list_of_job_ids_gets_400(awaits):
+    deployment, pipelines = ready(451)
+    pipeline = pipelines.begin(chain(1), **LONG)
+    run_until(deployment, lambda: pipeline.complete)
+    body = dict(deployment.jobs.descriptions[pipeline.job(0)], ref="job-000500", awaits=awaits)
+    status, _ = post(deployment, body, deployment.controller_names[0])
+    assert status == 400
+    # A repeat of a known job is answered by its state, whatever it holds.
+    repeat = dict(deployment.jobs.descriptions[pipeline.job(0)], awaits=awaits)
+    status, answer = post(deployment, repeat, deployment.controller_names[0])
+    assert status == 200 and msgspec.json.decode(answer)["stage"] in ("pending", "running")
+
+
+@pytest.mark.parametrize("awaits", [None, []], ids=["null", "empty"])
+def test_null_and_empty_are_none(awaits):
+    deployment, pipelines = ready(452)
+    job = deployment.users.submit(500, awaits=awaits, **LONG)
+    deployment.users.poll_until_over(job)
+    pipelines.settle()
+    assert deployment.jobs.observed_states[job] == "done"
+
+
+def test_duplicates_count_once():
+    deployment, pipelines = ready(453)
+    pipeline = pipelines.begin(chain(1), **LONG)
+    run_until(deployment, lambda: pipeline.complete)
+    job = deployment.users.submit(500, awaits=[pipeline.job(0)] * 30, **LONG)
+    deployment.users.poll_until_over(job)
+    pipelines.settle()
+    assert deployment.jobs.observed_states[job] == "done"
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_a_node_that_is_behind_never_answers_422_for_an_accepted_job(seed):
+    """The store refuses it, or answers slowly, while others accept jobs; it may only say 503."""
+    deployment, pipelines = ready(460 + seed)
+    behind = deployment.controller_names[seed % 3]
+    statuses = []
+
+    def name_it(job):
+        body = dict(
+            deployment.jobs.descriptions[job],
+            ref=f"job-{800_000 + len(deployment.jobs.accepted):06d}",
+            awaits=[job],
+        )
+        deployment.jobs.descriptions[body["ref"]] = body
+        deployment.jobs.submitted_at[body["ref"]] = deployment.clock.now()
+        deployment.users.poll_until_over(body["ref"])
+        deployment.users.send_submission(body["ref"], 40, behind)
+        statuses.append(body["ref"])
+
+    deployment.users.accepted_callbacks.append(lambda job: name_it(job) if job < "job-8" else None)
+    deployment.faults.during(seconds(20), "slow_store", seconds(0.8))
+    for at in (1, 5, 9):
+        deployment.clock.later(seconds(at), deployment.faults.refuse, seed % 3, seconds(2))
+    for number in range(12):
+        deployment.clock.later(
+            seconds(number), lambda n=number: deployment.users.submit_and_poll(n, run_s=1.0)
+        )
+    deployment.run(seconds(22))
+    # SimulatedDeployment.repeat takes a 422 for a breach.
+    assert len(statuses) >= 10 and deployment.counts["submission 422"] == 0
+    pipelines.settle()
+
+
+def test_a_node_that_cannot_confirm_answers_503_for_an_unknown_dependency():
+    deployment, pipelines = ready(465)
+    pipeline = pipelines.begin(chain(1), **(LONG | {"run_s": 60.0}))
+    run_until(deployment, lambda: pipeline.complete)
+    deployment.faults.outage(seconds(6))
+    deployment.run(seconds(2))
+    statuses = []
+
+    async def ask(name, body):
+        answer = await deployment.controllers[name].handle("POST", "/submissions", encode(body))
+        statuses.append((answer.status, answer.retry_after))
+
+    for number, name in enumerate(deployment.controller_names):
+        body = dict(
+            deployment.jobs.descriptions[pipeline.job(0)],
+            ref=f"job-{500 + number:06d}",
+            awaits=["job-999999"],
+        )
+        run_in_background(ask(name, body), "asking")
+    deployment.run(seconds(3))
+    assert len(statuses) == 3 and all(status == 503 and retry for status, retry in statuses)
+
+
+@pytest.mark.parametrize("count", [200, 2000])
+def test_a_long_list_of_dependencies(count):
+    """A list as long as the body allows fits whatever limits hold, or is answered by a documented status;
+    nothing breaks in the store, and the job starts after all of them."""
+    deployment, pipelines = ready(470)
+    needed = [
+        deployment.users.submit(number, vcpus=1.0, threads=1, mem_gb=0.1, run_s=0.3) for number in range(200)
+    ]
+    run_until(deployment, lambda: deployment.jobs.accepted >= set(needed))
+    # Ids of other forms name other jobs: the list is made long by duplicates, which count once.
+    body = {"awaits": (needed * (count // len(needed)))[:count]} | LONG
+    job = deployment.users.submit(90_000, **body)
+    assert len(encode(deployment.jobs.descriptions[job])) < 64 * 1024
+    deployment.users.poll_until_over(job)
+    for one in needed:
+        deployment.users.poll_until_over(one)
+    pipelines.settle()
+    assert deployment.jobs.observed_states[job] == "done"
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -11,7 +11,7 @@
 from spindleglade.settings.operator import LeadershipSettings
 from tests.deployment_config import DeploymentConfig
 from tests.simulated_deployment import SimulatedDeployment
-from tests.test_combined_faults import ROOMY, settle
+from tests.workloads import ROOMY, settle
 
 SILENCE = seconds(70)
 HEARTBEAT_INTERVAL = seconds(LeadershipSettings().ping_s)
