--- a/spindleglade/controller/test_history_writer.py
+++ b/spindleglade/controller/test_history_writer.py
@@ -13,7 +13,7 @@
 from spindleglade.store.errors import OutcomeUnknownError
 from spindleglade.store.messages import Committed, ConditionFailed, Entry
 from spindleglade.submissions.records import HISTORY
-from spindleglade.workers.test_cluster_state import TOKEN, make_cluster
+from tests.cluster_harness import TOKEN, make_cluster
 
 
 class Store:
--- a/spindleglade/controller/test_recovery.py
+++ b/spindleglade/controller/test_recovery.py
@@ -14,7 +14,7 @@
     job_key,
     range_key,
 )
-from spindleglade.workers.test_cluster_state import make_cluster, spec
+from tests.cluster_harness import make_cluster, spec
 
 
 class FakeReplica:
--- a/spindleglade/fleet/test_autoscaler.py
+++ b/spindleglade/fleet/test_autoscaler.py
@@ -12,7 +12,7 @@
 from spindleglade.runtime.clock import ManualClock, seconds, sleep
 from spindleglade.settings.operator import FleetSettings, WorkerSettings
 from spindleglade.workers.machines import Machine
-from spindleglade.workers.test_cluster_state import make_cluster
+from tests.cluster_harness import make_cluster
 
 
 class RecordingCloud:
--- a/spindleglade/submissions/test_dependencies.py
+++ b/spindleglade/submissions/test_dependencies.py
@@ -19,7 +19,7 @@
 from spindleglade.submissions.test_api import FakeStateService
 from spindleglade.submissions.test_messages import encode
 from spindleglade.submissions.views import JobViews
-from spindleglade.workers.test_cluster_state import spec
+from tests.cluster_harness import spec
 
 SIZE = 6
 PLANS = st.tuples(
--- a/spindleglade/workers/test_command_dispatcher.py
+++ b/spindleglade/workers/test_command_dispatcher.py
@@ -10,7 +10,7 @@
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
 from spindleglade.workers.command_dispatcher import CommandDispatcher, DispatcherEvents
 from spindleglade.workers.messages import CommandBatch
-from spindleglade.workers.test_cluster_state import START, Harness
+from tests.cluster_harness import START, Harness
 
 
 def make_dispatcher(harness, http, known_as_of=lambda: timedelta(0)):
@@ -29,24 +29,24 @@
             raise error("")
 
     harness = Harness()
-    harness.report()
+    harness.send_heartbeat()
     harness.place()
-    harness.record()
+    harness.commit_writes()
     dispatcher = make_dispatcher(harness, Http())
     dispatcher.dispatch()
     assert (harness.cluster.machines["n-1"].unreachable_since is None) == (error is ConnectionLimitError)
     if error is not NoResponseError:
-        assert harness.report() == START
+        assert harness.send_heartbeat() == START
 
 
 def test_a_start_is_queued_for_dispatch_again_only_once_its_placement_is_recorded():
     harness = Harness()
-    harness.report()
+    harness.send_heartbeat()
     harness.place()
-    assert harness.direct() == [] and not harness.cluster.dispatch_queue
-    harness.record()
-    assert list(harness.cluster.dispatch_queue) == ["n-1"] and harness.direct() == START
-    assert harness.direct() == [] and not harness.cluster.dispatch_queue
+    assert harness.direct_commands() == [] and not harness.cluster.dispatch_queue
+    harness.commit_writes()
+    assert list(harness.cluster.dispatch_queue) == ["n-1"] and harness.direct_commands() == START
+    assert harness.direct_commands() == [] and not harness.cluster.dispatch_queue
     # A command that was never sent is queued again.
     harness.cluster.on_commands_sent(harness.cluster.machines["n-1"], START, False, harness.now)
     assert list(harness.cluster.dispatch_queue) == ["n-1"]
@@ -62,24 +62,24 @@
             raise NotSentError("")
 
     harness = Harness()
-    harness.report()
+    harness.send_heartbeat()
     harness.place()
-    harness.record()
+    harness.commit_writes()
     dispatcher = make_dispatcher(harness, Http(), lambda: known_as_of[0])
     dispatcher.dispatch()
     assert sent == []
     harness.cluster.jobs["job-1"].placed[0].is_confirmed = True
     harness.cluster.jobs["job-1"].placed[0].state = "running"
-    harness.abort()
+    harness.cancel()
     dispatcher.dispatch()
     assert [command.operation for command in sent] == ["stop"]
 
 
 def test_a_withheld_start_is_sent_once_starts_are_permitted():
     harness = Harness()
-    harness.report()
+    harness.send_heartbeat()
     harness.place()
-    harness.record()
+    harness.commit_writes()
     assert harness.cluster.take_direct_commands(starts=False) == []
     assert [commands for _, _, commands in harness.cluster.take_direct_commands()] == [START]
 
@@ -92,10 +92,10 @@
             raise ValueError("no request at all")
 
     harness = Harness()
-    harness.report()
+    harness.send_heartbeat()
     harness.place()
-    harness.record()
+    harness.commit_writes()
     make_dispatcher(harness, Http()).dispatch()
     machine = harness.cluster.machines["n-1"]
     assert not machine.command_in_flight and machine.unacknowledged_starts
-    assert harness.report() == START
+    assert harness.send_heartbeat() == START
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -1,4 +1,4 @@
-"""The leader's cluster state and recorder with jobs that depend on others."""
+"""The leader's cluster state and state writer with jobs that depend on others."""
 
 import time
 from datetime import timedelta
@@ -18,18 +18,18 @@
 from spindleglade.workers.jobs import WAITING
 from spindleglade.workers.messages import Command
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
-from spindleglade.workers.test_cluster_state import RULES, TOKEN, Harness, spec
 from spindleglade.workers.test_state_writer import Store
+from tests.cluster_harness import POLICY, TOKEN, Harness, spec
 
 
 def dependent(id="job-2", dependencies=("job-1",), **fields):
     return JobRecord("open", spec(id, 1, **fields), 8, None, list(dependencies))
 
 
-def waiting():
-    """A machine that is up, job-1 open, and job-2 that waits for it."""
+def with_dependent_job():
+    """A registered machine, job-1 open, and job-2 that depends on it."""
     harness = Harness()
-    harness.report()
+    harness.send_heartbeat()
     harness.cluster.observe_job(dependent(), 2, harness.now)
     return harness
 
@@ -38,8 +38,8 @@
     return {job.id: job for job in harness.cluster.snapshot(harness.now).jobs}
 
 
-def test_a_job_that_waits_is_no_candidate_and_no_plan_starts_it():
-    harness = waiting()
+def test_a_job_with_open_dependencies_is_neither_planned_nor_placed():
+    harness = with_dependent_job()
     assert set(candidates(harness)) == {"job-1"}
     start = Plan(placements=[Placement("job-2", 0, "n-1")])
     assert harness.cluster.apply_plan(start, harness.now) == 0
@@ -48,13 +48,13 @@
     assert harness.cluster.apply_plan(start, harness.now) == 1
 
 
-def test_the_clock_of_overdue_jobs_counts_from_the_release():
-    harness = waiting()
-    harness.now += RULES.overdue_after * 3
-    harness.cluster.release_job("job-2", harness.now, RULES.overdue_after / 2)
+def test_a_dependent_job_becomes_overdue_counting_from_its_release():
+    harness = with_dependent_job()
+    harness.now += POLICY.overdue_after * 3
+    harness.cluster.release_job("job-2", harness.now, POLICY.overdue_after / 2)
     found = candidates(harness)
     assert found["job-1"].is_overdue and not found["job-2"].is_overdue
-    harness.now += RULES.overdue_after / 2
+    harness.now += POLICY.overdue_after / 2
     assert candidates(harness)["job-2"].is_overdue
 
 
@@ -68,33 +68,33 @@
     assert harness.cluster.jobs["job-2"].deadline == expected
 
 
-def test_no_start_of_a_job_that_waits_is_ordered_though_a_placement_is_on_record():
-    harness = waiting()
+def test_no_start_is_sent_before_the_release_though_a_placement_is_on_record():
+    harness = with_dependent_job()
     harness.cluster.load_range(
         "job-2", 0, TaskRangeRecord(placed={0: StoredAttempt(3, "n-1", 1)}), harness.now
     )
-    assert harness.report() == [] and not harness.cluster.take_direct_commands()
+    assert harness.send_heartbeat() == [] and not harness.cluster.take_direct_commands()
     harness.cluster.release_job("job-2", harness.now, timedelta(0))
-    assert harness.report() == [Command("start", "job-2/0", 3)]
+    assert harness.send_heartbeat() == [Command("start", "job-2/0", 3)]
 
 
 def test_a_dependent_with_tasks_on_record_is_not_overdue_for_a_new_leader():
-    """When its latest start was is not on record, so its clock begins anew, as that of any other job."""
-    harness = waiting()
-    harness.now += RULES.overdue_after * 3
+    """The time of its latest start is not on record, so it counts from the recovery, as for any other job."""
+    harness = with_dependent_job()
+    harness.now += POLICY.overdue_after * 3
     placed = TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)})
     for job in ("job-1", "job-2"):
         harness.cluster.load_range(job, 0, placed, harness.now)
-    harness.cluster.release_job("job-2", harness.now, RULES.overdue_after * 2)
+    harness.cluster.release_job("job-2", harness.now, POLICY.overdue_after * 2)
     harness.cluster.jobs["job-2"].task_states[0] = WAITING
     harness.cluster.jobs["job-2"].placed.clear()
     assert not candidates(harness)["job-2"].is_overdue
-    harness.now += RULES.overdue_after
+    harness.now += POLICY.overdue_after
     assert candidates(harness)["job-2"].is_overdue
 
 
 def test_a_job_cancelled_through_an_ancestor_is_over_without_a_write():
-    harness = waiting()
+    harness = with_dependent_job()
     harness.cluster.cancel_through_dependency("job-2")
     assert set(candidates(harness)) == {"job-1"}
     batch = harness.cluster.collect_writes(9, {})
@@ -105,8 +105,8 @@
     assert set(candidates(harness)) == {"job-1"}
 
 
-def test_urgency_changes_the_rank_and_presses_near_the_latest_start():
-    harness = waiting()
+def test_urgency_changes_the_rank_and_applies_from_the_latest_start():
+    harness = with_dependent_job()
     harness.cluster.set_urgency("job-1", 3, harness.now + seconds(5))
     assert (candidates(harness)["job-1"].rank, candidates(harness)["job-1"].is_urgent) == (3, False)
     harness.now += seconds(5)
@@ -115,7 +115,7 @@
     assert (candidates(harness)["job-1"].rank, candidates(harness)["job-1"].is_urgent) == (1, False)
 
 
-def ended(harness, id):
+def complete_job(harness, id):
     job = harness.cluster.jobs[id]
     for index in range(len(job.task_states)):
         job.task_states[index], job.done = 2, job.done + 1
@@ -124,10 +124,10 @@
 
 def test_the_end_of_a_job_that_others_wait_for_is_recorded_ahead_of_all_else():
     harness = Harness()
-    harness.report()
+    harness.send_heartbeat()
     for number in range(2, 6):
         harness.cluster.observe_job(JobRecord("open", spec(f"job-{number}", 1), 8), number)
-        ended(harness, f"job-{number}")
+        complete_job(harness, f"job-{number}")
     harness.place()
     harness.cluster.set_has_dependents("job-5", True)
     assert [done for done, _, _ in harness.cluster.collect_writes(1, {}).done] == ["job-5"]
@@ -137,33 +137,33 @@
 
 
 @pytest.mark.parametrize("fate", ["ok", "not applied", "response lost"])
-def test_dependents_are_told_of_an_end_only_once_the_store_holds_it(fate):
-    """What the worker reported is not enough: a start must not come before the record of what it needs. An
-    end whose answer was lost is known once its record has been read back."""
-    harness, clock, learned = Harness(), ManualClock(), []
-    ended(harness, "job-1")
+def test_dependents_are_notified_of_an_end_only_once_the_store_holds_it(fate):
+    """A heartbeat is not enough: a start must not come before the record of what it needs. An end whose
+    response was lost is known once its record has been read back."""
+    harness, clock, observed = Harness(), ManualClock(), []
+    complete_job(harness, "job-1")
     store = Store([fate])
     store.values[job_key("job-1")] = encode_value(JobRecord("done", spec(), 1))
-    recorder = StateWriter(
+    writer = StateWriter(
         harness.cluster,
         store,
         clock,
         Term(TOKEN, 5, 1),
         {},
         StateWriterEvents(
-            lambda: None, str, lambda key, value, mod_revision: learned.append((key, mod_revision, value))
+            lambda: None, str, lambda key, value, mod_revision: observed.append((key, mod_revision, value))
         ),
     )
-    recorder.start()
-    assert bool(learned) == (fate == "ok")
+    writer.start()
+    assert bool(observed) == (fate == "ok")
     for _ in range(20):
         clock.advance(seconds(0.1))
-    assert learned[0][:2] == (job_key("job-1"), 11)
-    assert (b'"finished"' in learned[0][2]) == (fate != "response lost")
+    assert observed[0][:2] == (job_key("job-1"), 11)
+    assert (b'"finished"' in observed[0][2]) == (fate != "response lost")
 
 
 class Replica:
-    """Tells the views what the leader reads, as the node's replica does."""
+    """Passes what the leader reads to the views, as the controller's replica does."""
 
     def __init__(self, views):
         self._views = views
@@ -172,8 +172,8 @@
         self._views.on_change(key, value, mod_revision)
 
 
-def take_over(*records):
-    """A leader that has read these records, ahead of its replica; the node's views, and what applies the
+def elect_leader(*records):
+    """A leader that has read these records, ahead of its replica; the views, and what applies the
     dependencies among them to the leader's state."""
     views = JobViews()
     entries = [
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize("state", ["open", "done", "aborted"])
 def test_a_new_leader_releases_by_the_records_it_reads_itself(state):
     first = JobRecord(state, spec(), 8)
-    leader, _, pipelines = take_over(first, dependent(), dependent("job-3", ["job-2"]))
+    leader, _, pipelines = elect_leader(first, dependent(), dependent("job-3", ["job-2"]))
     pipelines.update_all()
     job = leader.cluster.jobs["job-2"]
     assert (job.released, job.cancelled) == (state == "done", state == "aborted")
@@ -202,13 +202,13 @@
 
 def test_priorities_and_deadlines_reach_the_beginning_of_a_pipeline():
     last = dependent("job-3", ["job-2"], priority="critical", deadline_s=100.0, estimate_s=10.0)
-    leader, views, pipelines = take_over(
+    leader, views, pipelines = elect_leader(
         JobRecord("open", spec(estimate_s=7.0), 8), dependent(estimate_s=5.0), last
     )
     pipelines.update_urgency()
     now = leader._clock.now()
     found = {id: (job.rank, job.latest_start) for id, job in leader.cluster.jobs.items()}
-    # 100 s, less the runs of what comes after, less twice its own.
+    # 100 s, less the estimates of the jobs after it, less twice its own.
     assert found == {
         "job-1": (3, now + seconds(100 - 10 - 5 - 14)),
         "job-2": (3, now + seconds(100 - 10 - 10)),
@@ -220,36 +220,38 @@
     assert {id: job.rank for id, job in leader.cluster.jobs.items()} == {"job-1": 1, "job-2": 1, "job-3": 3}
 
 
-# Jobs of one pipeline, and the processor time within which a leader takes them in and acts on the first end.
-THOUSANDS = 4000
-TAKEN_IN_WITHIN_S = 10.0
+# Jobs of one pipeline, and the processor time within which a leader loads them and handles the first end.
+PIPELINE_LENGTH = 4000
+MAX_CPU_S = 10.0
 
 
 @pytest.mark.parametrize("state", ["done", "aborted"])
 @pytest.mark.parametrize("shape", ["chain", "fan out", "fan in"])
-def test_a_leader_takes_in_pipelines_of_thousands_and_the_end_of_their_first_job(shape, state):
+def test_a_leader_loads_pipelines_of_thousands_and_handles_the_end_of_their_first_job(shape, state):
     needs = {
         "chain": lambda number: [f"job-{number - 1}"],
         "fan out": lambda number: ["job-1"],
         "fan in": lambda number: (
-            [f"job-{other}" for other in range(1, THOUSANDS)] if number == THOUSANDS else []
+            [f"job-{other}" for other in range(1, PIPELINE_LENGTH)] if number == PIPELINE_LENGTH else []
         ),
     }[shape]
     records = [JobRecord("open", spec("job-1", 1), 8)]
-    records += [dependent(f"job-{number}", needs(number)) for number in range(2, THOUSANDS + 1)]
+    records += [dependent(f"job-{number}", needs(number)) for number in range(2, PIPELINE_LENGTH + 1)]
     began = time.process_time()
-    leader, views, pipelines = take_over(*records)
+    leader, views, pipelines = elect_leader(*records)
     pipelines.update_all()
     views.subscribe(pipelines.on_job_changed)
-    views.on_change(job_key("job-1"), encode_value(JobRecord(state, spec("job-1", 1), 8)), THOUSANDS + 1)
+    views.on_change(
+        job_key("job-1"), encode_value(JobRecord(state, spec("job-1", 1), 8)), PIPELINE_LENGTH + 1
+    )
     pipelines.update_urgency()
-    assert time.process_time() - began < TAKEN_IN_WITHIN_S
-    last = leader.cluster.jobs[f"job-{THOUSANDS}"]
+    assert time.process_time() - began < MAX_CPU_S
+    last = leader.cluster.jobs[f"job-{PIPELINE_LENGTH}"]
     assert last.released == (shape == "fan out" and state == "done")
     assert last.cancelled == (state == "aborted")
     released = sum(job.released for job in leader.cluster.jobs.values())
     # The first job itself, those that need nothing, and those that its end releases.
-    expected = {"chain": 1, "fan out": 1, "fan in": THOUSANDS - 1}[shape]
+    expected = {"chain": 1, "fan out": 1, "fan in": PIPELINE_LENGTH - 1}[shape]
     if state == "done":
-        expected += {"chain": 1, "fan out": THOUSANDS - 1, "fan in": 0}[shape]
+        expected += {"chain": 1, "fan out": PIPELINE_LENGTH - 1, "fan in": 0}[shape]
     assert released == expected
--- /dev/null
+++ b/spindleglade/workers/test_failure_tracker.py
@@ -0,0 +1,174 @@
+"""Failures: when machines are quarantined, and jobs paused and probed with one task."""
+
+import pytest
+
+from spindleglade.backfill.plan import Placement, Plan
+from spindleglade.runtime.clock import seconds
+from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord
+from tests.cluster_harness import Harness, make_cluster, spec
+
+
+def test_failures_of_several_jobs_quarantine_a_machine_and_of_one_job_do_not():
+    harness = Harness()
+    for number in (2, 3):
+        harness.cluster.observe_job(JobRecord("open", spec(f"job-{number}", 1), 1), number)
+    harness.send_heartbeat()
+    harness.send_heartbeat(machine="n-2")
+
+    def fail(job, machine):
+        index = harness.cluster.jobs[job].waiting_tasks(1)[0]
+        assert harness.cluster.apply_plan(Plan(placements=[Placement(job, index, machine)]), harness.now) == 1
+        attempt = harness.cluster.jobs[job].placed[index].attempt
+        harness.commit_writes()
+        harness.send_heartbeat(machine=machine)
+        harness.send_heartbeat((f"{job}/{index}", attempt, "exited", "error"), machine=machine)
+
+    fail("job-1", "n-1")
+    fail("job-1", "n-2")
+    # The same job failed on both: it is paused, and neither machine is quarantined.
+    assert harness.cluster.jobs["job-1"].paused_until > harness.now
+    assert not harness.cluster.machines["n-1"].failed_jobs and not harness.cluster.machines["n-2"].failed_jobs
+    fail("job-2", "n-1")
+    fail("job-3", "n-1")
+    assert harness.cluster.machines["n-1"].quarantined and harness.cluster.jobs["job-1"].is_open
+
+
+def test_a_machine_leaves_quarantine_once_a_job_that_failed_on_it_fails_elsewhere():
+    harness = Harness()
+    harness.cluster.observe_job(JobRecord("open", spec("job-2", 2), 1), 2)
+    for name in ("n-1", "n-2", "n-3"):
+        harness.send_heartbeat(machine=name)
+
+    def fail(job, machine):
+        start_all(harness, job, [machine])
+        list_all(harness, job, "error")
+
+    fail("job-1", "n-1")
+    fail("job-2", "n-1")
+    assert harness.cluster.machines["n-1"].quarantined
+    fail("job-2", "n-2")
+    assert not harness.cluster.machines["n-1"].quarantined and harness.cluster.machines[
+        "n-1"
+    ].failed_jobs == {"job-1"}
+
+
+def start_all(harness, job, machines):
+    """Starts a waiting task of the job on each of the machines."""
+    for machine in machines:
+        harness.send_heartbeat(machine=machine)
+    waiting = harness.cluster.jobs[job].waiting_tasks(len(machines))
+    starts = [Placement(job, index, machine) for index, machine in zip(waiting, machines, strict=True)]
+    assert harness.cluster.apply_plan(Plan(placements=starts), harness.now) == len(starts)
+    harness.commit_writes()
+    for machine in machines:
+        harness.send_heartbeat(machine=machine)
+
+
+def list_all(harness, job, *status):
+    """All placed tasks of the job are listed in that state, or as exited for that cause."""
+    by_machine = {}
+    for attempt in harness.cluster.jobs[job].placed.values():
+        by_machine.setdefault(attempt.machine, []).append((attempt.task, attempt.attempt))
+    for machine, tasks in by_machine.items():
+        state = status if status[0] == "running" else ("exited", *status)
+        harness.send_heartbeat(*[(task, attempt, *state) for task, attempt in tasks], machine=machine)
+
+
+def test_a_job_that_fails_everywhere_is_probed_with_one_task_at_a_time():
+    """Starting all its tasks at the end of each pause would fail them all again."""
+    harness = Harness()
+    harness.cluster.observe_job(JobRecord("open", spec("job-2", 6), 1), 2)
+    harness.send_heartbeat()
+    harness.send_heartbeat(machine="n-2")
+    job = harness.cluster.jobs["job-2"]
+
+    def planned_counts():
+        return [
+            len(view.waiting_tasks)
+            for view in harness.cluster.snapshot(harness.now).jobs
+            if view.id == "job-2"
+        ]
+
+    assert planned_counts() == [6]
+    start_all(harness, "job-2", ["n-1", "n-1", "n-2", "n-2"])
+    list_all(harness, "job-2", "error")
+    assert job.paused_until == harness.now + seconds(5) and planned_counts() == []
+    harness.now += seconds(5)
+    assert planned_counts() == [1]
+    start_all(harness, "job-2", ["n-1"])
+    assert planned_counts() == []
+    list_all(harness, "job-2", "error")
+    assert job.paused_until == harness.now + seconds(10)
+    harness.now += seconds(10)
+    start_all(harness, "job-2", ["n-2"])
+    list_all(harness, "job-2", "running")
+    harness.now += seconds(10.5)
+    # It has run for longer than it was paused.
+    assert planned_counts() == [5]
+    list_all(harness, "job-2", "done")
+    assert planned_counts() == [5] and not harness.cluster.machines["n-2"].failed_jobs
+
+
+def next_leader(harness, job):
+    """The cluster state as a new leader recovers it from the records."""
+    cluster = make_cluster()
+    cluster.observe_job(JobRecord("open", job.spec, job.range_size), 2)
+    for number in range(job.spec.tasks // job.range_size):
+        record = job.encode_range(number)
+        if record is not None:
+            cluster.load_range(job.id, number, record, harness.now)
+    cluster.finish_loading()
+    return cluster
+
+
+def waiting_task_count(cluster, job, now):
+    return sum(len(view.waiting_tasks) for view in cluster.snapshot(now).jobs if view.id == job)
+
+
+def test_a_new_leader_continues_to_probe_a_job_that_fails_everywhere():
+    """Which jobs are paused and probed is not on record; the numbers of their attempts show it."""
+    harness = Harness()
+    harness.cluster.observe_job(JobRecord("open", spec("job-2", 6), 1), 2)
+    harness.send_heartbeat()
+    harness.send_heartbeat(machine="n-2")
+    job = harness.cluster.jobs["job-2"]
+    for machines in (["n-1", "n-1", "n-2", "n-2"], ["n-1"], ["n-2"]):
+        start_all(harness, "job-2", machines)
+        list_all(harness, "job-2", "error")
+        harness.now += seconds(20)
+    assert waiting_task_count(next_leader(harness, job), "job-2", harness.now) == 1
+    # Also where the probing task is on a machine just then; and the others follow once it has run.
+    start_all(harness, "job-2", ["n-1"])
+    harness.cluster = cluster = next_leader(harness, job)
+    assert waiting_task_count(cluster, "job-2", harness.now) == 0
+    list_all(harness, "job-2", "running")
+    harness.now += seconds(5.5)
+    assert waiting_task_count(cluster, "job-2", harness.now) == 5
+
+
+@pytest.mark.parametrize(
+    "attempt_counts, placed, done, fields",
+    [
+        ([1, 1, 1, 1], {}, [], {}),
+        ([3, 3, 3, 3], {}, [], {}),
+        # Capacity for two, then for one, and machines that were lost.
+        ([3, 2, 0, 0], {}, [], {}),
+        ([4, 0, 0, 0], {}, [], {}),
+        ([4, 1, 1, 0], {3: 1}, [], {}),
+        ([4, 1, 1, 0], {}, [3], {}),
+        ([4, 1, 1, 1], {}, [], {"checkpoint_s": 5.0}),
+        ([4, 1, 1, 1], {}, [], {"kind": "group"}),
+    ],
+)
+def test_a_job_whose_tasks_were_lost_is_not_probed(attempt_counts, placed, done, fields):
+    cluster = make_cluster()
+    cluster.observe_job(JobRecord("open", spec("job-2", 4, **fields), 4), 2)
+    record = TaskRangeRecord(
+        [(index, index) for index in done],
+        {index: StoredAttempt(attempt, "n-1", 1) for index, attempt in placed.items()},
+        {index: attempts for index, attempts in enumerate(attempt_counts) if attempts},
+    )
+    cluster.load_range("job-2", 0, record, seconds(100))
+    cluster.finish_loading()
+    assert waiting_task_count(cluster, "job-2", seconds(100)) == 4 - len(placed) - len(done)
+    assert cluster.jobs["job-2"].backoff == seconds(0)
--- a/spindleglade/workers/test_heartbeats.py
+++ b/spindleglade/workers/test_heartbeats.py
@@ -18,7 +18,7 @@
 from spindleglade.workers.heartbeat_relay import HeartbeatRelay
 from spindleglade.workers.isolation_detector import IsolationDetector
 from spindleglade.workers.messages import Heartbeat, decode_heartbeat
-from spindleglade.workers.test_cluster_state import spec
+from tests.cluster_harness import spec
 
 LEASE, HEARTBEAT_INTERVAL = seconds(10), seconds(1)
 
--- /dev/null
+++ b/spindleglade/workers/test_lossy_network.py
@@ -0,0 +1,124 @@
+"""No sequence of losses, delays and repetitions makes a task run unknown to the leader."""
+
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
+
+from spindleglade.backfill.plan import Placement, Plan, Preemption
+from spindleglade.workers.messages import Command, Heartbeat, TaskStatus, split_task
+from tests.cluster_harness import TOKEN, Harness
+
+
+class LossyWorker(RuleBasedStateMachine):
+    """One machine behind a network that loses, delays and repeats direct commands; planned on at will. The
+    task must never be taken as off the machine while it runs there or a start of it can still arrive."""
+
+    def __init__(self):
+        super().__init__()
+        self.harness = Harness()
+        self.incarnation, self.sequence = 1, 0
+        self.tasks: dict[tuple[str, int], str] = {}
+        self.delayed: list[tuple[int, list[Command]]] = []
+        self.token = 0
+
+    def next_heartbeat(self):
+        self.sequence += 1
+        statuses = [
+            TaskStatus(
+                task,
+                attempt,
+                state,
+                "done"
+                if state == "exited" and attempt % 3 == 0
+                else ("halted" if state == "exited" else None),
+            )
+            for (task, attempt), state in self.tasks.items()
+        ]
+        return Heartbeat("n-1", "x:1", "m", "z", True, self.incarnation, self.sequence, self.token, statuses)
+
+    def execute(self, commands):
+        for command in commands:
+            key = (command.task, command.attempt)
+            if command.operation == "start":
+                self.tasks.setdefault(key, "running")
+            elif command.operation == "stop" and key in self.tasks:
+                self.tasks[key] = "exited"
+            elif command.operation == "clear" and self.tasks.get(key) == "exited":
+                del self.tasks[key]
+
+    @rule(deliver=st.booleans())
+    def send_heartbeat(self, deliver):
+        heartbeat = self.next_heartbeat()
+        commands = self.harness.cluster.on_heartbeat(heartbeat, self.harness.now, True)
+        if deliver and commands is not None:
+            self.token = TOKEN
+            self.execute(commands)
+
+    @rule(index=st.integers(0, 1))
+    def plan(self, index):
+        self.harness.cluster.apply_plan(Plan(placements=[Placement("job-1", index, "n-1")]), self.harness.now)
+
+    @rule(index=st.integers(0, 1))
+    def preempt(self, index):
+        self.harness.cluster.apply_plan(
+            Plan(preemptions=[Preemption("job-1", index, "n-1", "job-2")]), self.harness.now
+        )
+
+    @rule()
+    def commit_writes(self):
+        self.harness.commit_writes()
+
+    @rule(fate=st.sampled_from(["answered", "response lost", "delayed", "lost"]))
+    def send(self, fate):
+        for machine, incarnation, commands in self.harness.cluster.take_direct_commands():
+            if fate in ("answered", "response lost") and incarnation == self.incarnation:
+                self.token = TOKEN
+                self.execute(commands)
+            if fate == "delayed":
+                self.delayed.append((incarnation, commands))
+            heartbeat = self.next_heartbeat() if fate == "answered" else None
+            self.harness.cluster.on_commands_sent(machine, commands, heartbeat is None, self.harness.now)
+            if heartbeat is not None:
+                self.harness.cluster.on_heartbeat(heartbeat, self.harness.now, False)
+
+    @precondition(lambda self: self.delayed)
+    @rule()
+    def deliver_delayed(self):
+        incarnation, commands = self.delayed.pop(0)
+        if incarnation == self.incarnation:
+            self.execute(commands)
+
+    @rule(which=st.integers(0, 3))
+    def end_task(self, which):
+        running = [key for key, state in self.tasks.items() if state == "running"]
+        if which < len(running):
+            self.tasks[running[which]] = "exited"
+
+    @rule()
+    def expire_lease(self):
+        self.tasks.clear()
+        self.incarnation, self.sequence = self.incarnation + 1, 0
+
+    @rule()
+    def cancel(self):
+        self.harness.cancel()
+
+    @invariant()
+    def running_tasks_are_placed(self):
+        job = self.harness.cluster.jobs["job-1"]
+        for (task, attempt), state in self.tasks.items():
+            if state == "running":
+                _, index = split_task(task)
+                assert index in job.placed and job.placed[index].attempt == attempt, (task, attempt)
+
+    @invariant()
+    def a_start_that_can_arrive_is_placed_or_known_to_the_worker(self):
+        job = self.harness.cluster.jobs["job-1"]
+        for incarnation, commands in self.delayed:
+            for command in commands:
+                key = (command.task, command.attempt)
+                if command.operation == "start" and incarnation == self.incarnation and key not in self.tasks:
+                    _, index = split_task(command.task)
+                    assert index in job.placed and job.placed[index].attempt == command.attempt, key
+
+
+TestLossyWorker = LossyWorker.TestCase
--- a/spindleglade/workers/test_reasons.py
+++ b/spindleglade/workers/test_reasons.py
@@ -1,4 +1,4 @@
-"""What the log says of why nothing starts."""
+"""The reasons for which nothing starts, as the log names them."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from spindleglade.submissions.records import JobRecord
 from spindleglade.workers.machines import MachineTypeCapacity
 from spindleglade.workers.reasons import MachineUnusableReason, PendingReason
-from spindleglade.workers.test_cluster_state import Harness, spec
+from tests.cluster_harness import Harness, spec
 
 
 def changed(**fields):
@@ -31,23 +31,23 @@
         (changed(refuses_starts_until=seconds(109)), MachineUnusableReason.REFUSED_START),
     ],
 )
-def test_each_reason_for_which_a_machine_gets_no_work_is_told(change, reason):
+def test_each_reason_why_a_machine_is_unusable_is_reported(change, reason):
     harness = Harness()
-    harness.report()
+    harness.send_heartbeat()
     change(harness)
     machine = harness.cluster.machines["n-1"]
     assert harness.cluster.unusable_reason(machine, harness.now) is reason
     assert harness.cluster.is_usable(machine, harness.now) == (reason is None)
-    standstill = harness.cluster.scheduling_stall(harness.now)
-    assert standstill.usable == (reason is None)
-    assert dict(standstill.unusable) == ({} if reason is None else {reason: 1})
+    stall = harness.cluster.scheduling_stall(harness.now)
+    assert stall.usable == (reason is None)
+    assert dict(stall.unusable) == ({} if reason is None else {reason: 1})
 
 
-def test_each_reason_for_which_a_job_waits_is_told():
+def test_each_reason_why_a_job_is_pending_is_reported():
     harness = Harness()
     cluster = harness.cluster
     cluster.machine_types = {"m": MachineTypeCapacity(64.0, 0.0, 64.0, 50.0, 1.0)}
-    harness.report()
+    harness.send_heartbeat()
     for number, fields in enumerate([{}, {}, {"cpus": 7.0}, {"team": "nobody"}], 2):
         cluster.observe_job(JobRecord("open", spec(f"job-{number}", **fields), 1), number)
     cluster.jobs["job-2"].released = False
@@ -59,14 +59,14 @@
         PendingReason.TEAM_LIMIT: 2,
         PendingReason.NO_CAPACITY: 1,
     }
-    standstill = cluster.scheduling_stall(harness.now)
-    assert dict(standstill.waiting) == expected
-    assert "no room: 1" in str(standstill) and "machines_usable=1" in str(standstill)
+    stall = cluster.scheduling_stall(harness.now)
+    assert dict(stall.waiting) == expected
+    assert "no room: 1" in str(stall) and "machines_usable=1" in str(stall)
 
 
-def test_without_waiting_work_there_is_nothing_to_tell():
+def test_without_waiting_tasks_no_stall_is_reported():
     harness = Harness()
-    harness.report()
+    harness.send_heartbeat()
     harness.cluster.apply_plan(Plan(placements=[Placement("job-1", at, "n-1") for at in (0, 1)]), harness.now)
     assert harness.cluster.scheduling_stall(harness.now) is None
 
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -28,7 +28,7 @@
 )
 from spindleglade.workers.messages import Heartbeat, TaskStatus
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
-from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
+from tests.cluster_harness import TOKEN, make_cluster, spec
 from tests.fakes.state_service import StateService
 
 
--- a/spindleglade/workers/test_state_writer_errors.py
+++ b/spindleglade/workers/test_state_writer_errors.py
@@ -12,8 +12,8 @@
 from spindleglade.workers.jobs import DONE
 from spindleglade.workers.messages import Heartbeat
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
-from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
 from spindleglade.workers.test_state_writer import Store
+from tests.cluster_harness import TOKEN, make_cluster, spec
 
 # Jobs with a start to be recorded, one that is done, and one that is cancelled and has a range to remove.
 STARTING = ("job-1", "job-2", "job-3")
--- a/spindleglade/workers/test_splitting.py
+++ b/spindleglade/workers/test_task_range_splitting.py
@@ -1,5 +1,5 @@
-"""Values that the state service has come to take no longer: their splitting, told from start to end, and what
-of a batch is held up by one that cannot be made smaller."""
+"""Values that exceed lowered limits of the state service: task ranges are split, and a value that cannot be
+made smaller delays no others."""
 
 import msgspec
 from hypothesis import settings
@@ -18,31 +18,31 @@
 from spindleglade.workers.jobs import DONE
 from spindleglade.workers.messages import Heartbeat, split_task
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
-from spindleglade.workers.test_cluster_state import TOKEN, make_cluster, spec
 from spindleglade.workers.test_state_writer import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
+from tests.cluster_harness import TOKEN, make_cluster, spec
 from tests.fakes.state_service import StateService
 
-LOWER = NextStateLimits(value_kb=0.45, txn_ops=4)
+LOWER_LIMITS = NextStateLimits(value_kb=0.45, txn_ops=4)
 SPANS = st.tuples(st.integers(0, 99), st.integers(1, 70)).map(lambda at: set(range(at[0], at[0] + at[1])))
 
 
-class SplittingStory(RecordsStory):
-    """The same story with chunks that the limits to come are too small for. They fall at any moment. After
+class SplittingSequences(RecordsStory):
+    """The same sequences with task ranges that exceed the next limits, which take effect at any moment. After
     every single change of the store a next leader and the followers, in whichever order they read the keys,
     know every placement, every attempt number and every end that was acted on."""
 
     SIZES = {"job-1": 100, "job-2": 40}
     CHUNK = 64
-    LIMITS = StateLimits(1e4, 1e4, 16.0, 12, LOWER)
+    LIMITS = StateLimits(1e4, 1e4, 16.0, 12, LOWER_LIMITS)
     AT_ONCE = 100
 
     def __init__(self):
-        self.views, self.followed, self.cleared = JobViews(), 0, set()
+        self.views, self.followed, self.forgotten = JobViews(), 0, set()
         super().__init__()
-        carry = self.service._write
+        write_to_store = self.service._write
 
         def write(writes):
-            carry(writes)
+            write_to_store(writes)
             self.nothing_is_lost()
 
         self.service._write = write
@@ -59,17 +59,17 @@
     def report(self, machine):
         before = dict(self.machines[machine])
         super().report(machine)
-        for key, how in before.items():
-            if how == ("exited", "done") and key not in self.machines[machine]:
-                self.cleared.add(key[0])
+        for key, status in before.items():
+            if status == ("exited", "done") and key not in self.machines[machine]:
+                self.forgotten.add(key[0])
 
     @rule(chance=st.integers(0, 2))
     def limits_fall(self, chance):
         if chance == 0:
-            self.service.lower_limits(LOWER.value_kb, LOWER.txn_ops)
+            self.service.lower_limits(LOWER_LIMITS.value_kb, LOWER_LIMITS.txn_ops)
 
     def read(self, entries):
-        """The cluster of a leader that would take over now."""
+        """The cluster state of a leader that were elected now."""
         cluster = make_cluster()
         make_loader(cluster).load(entries, self.clock.now())
         return cluster
@@ -99,28 +99,28 @@
                 name, index = split_task(task)
                 if name == job.id:
                     assert job.task_states[index] == DONE or job.attempts.get(index, 0) >= attempt, task
-            for task in self.cleared:
+            for task in self.forgotten:
                 name, index = split_task(task)
                 assert name != job.id or job.task_states[index] == DONE, task
         self.placements_are_known(cluster)
 
     def placements_are_known(self, cluster):
         for machine, there in self.machines.items():
-            for (task, attempt), how in there.items():
+            for (task, attempt), status in there.items():
                 name, index = split_task(task)
-                if how == ("running",) and name in cluster.jobs:
+                if status == ("running",) and name in cluster.jobs:
                     placed = cluster.jobs[name].placed.get(index)
                     assert placed is not None and (placed.attempt, placed.machine) == (attempt, machine)
                     if not cluster.jobs[name].is_open:
                         assert self.views.may_run_cancelled_task(machine, placed.incarnation)
 
 
-TestSplittingStory = SplittingStory.TestCase
-TestSplittingStory.settings = settings(max_examples=150, stateful_step_count=40)
+TestSplittingSequences = SplittingSequences.TestCase
+TestSplittingSequences.settings = settings(max_examples=150, stateful_step_count=40)
 
 
-class Line:
-    """Requests of one recorder, carried out at once."""
+class ImmediateRequester:
+    """Requests that are carried out at once."""
 
     def __init__(self, service):
         self.service = service
@@ -129,8 +129,8 @@
         return ClientResponse(*self.service.handle(method, path, body or b""))
 
 
-def placed(service, limits, machines):
-    """Jobs with a start on each of the machines, by the machines' names, and the recorder given time."""
+def record_starts(service, limits, machines):
+    """Jobs with a start on each of the named machines, after the state writer had time to record them."""
     clock, cluster = ManualClock(), make_cluster()
     cluster.teams = {}
     service.clock = clock
@@ -141,43 +141,48 @@
         cluster.on_heartbeat(Heartbeat(machine, "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
         cluster.apply_plan(Plan(placements=[Placement(job, 0, machine)]), clock.now())
     service._write([{"set": LEADER, "v": {}}])
-    client = StateClient(Line(service), "", clock, limits, 1, seconds(1))
+    client = StateClient(ImmediateRequester(service), "", clock, limits, 1, seconds(1))
     term = Term(TOKEN, service.revision, 1)
-    recorder = StateWriter(cluster, client, clock, term, {}, StateWriterEvents(lambda: None, str))
-    recorder.start()
+    writer = StateWriter(cluster, client, clock, term, {}, StateWriterEvents(lambda: None, str))
+    writer.start()
     clock.advance(seconds(20))
-    return cluster, recorder
+    return cluster, writer
 
 
-def test_one_value_too_large_holds_up_no_other_and_is_not_repeated():
-    """The whole batch was refused, and sent again for ever."""
+def test_an_oversized_value_delays_no_other_write_and_is_not_retried():
+    """A batch that contains it is rejected as a whole."""
     service = StateService(ManualClock())
     service.lower_limits(0.5, 4)
-    cluster, recorder = placed(
-        service, StateLimits(1e4, 1e4, 16.0, 12, LOWER), ["n-1", "n-2", "n-3" + "x" * 600, "n-4", "n-5"]
+    cluster, writer = record_starts(
+        service,
+        StateLimits(1e4, 1e4, 16.0, 12, LOWER_LIMITS),
+        ["n-1", "n-2", "n-3" + "x" * 600, "n-4", "n-5"],
     )
     recorded = [all(at.is_recorded for at in cluster.jobs[f"job-{n}"].placed.values()) for n in range(5)]
     assert recorded == [True, True, False, True, True]
     writes = [msgspec.json.encode(msgspec.json.decode(body)["writes"]) for body in service.too_large]
-    # In two batches, of which the first might have been made smaller, and alone.
+    # In two batches, of which the first could have been made smaller, and by itself.
     assert len(set(writes)) == len(writes) == 3
     # It is tried again once it has changed.
     cluster.on_machine_terminated("n-3" + "x" * 600, "test")
-    recorder.wake()
+    writer.wake()
     service.clock.advance(seconds(2))
     assert range_key("job-2", 0) in service.keys and len(service.too_large) == 3
 
 
-def test_a_transaction_refused_for_its_number_of_changes_is_taken_apart():
-    """Limits that fell though none were announced."""
+def test_a_transaction_refused_for_its_number_of_changes_is_split():
+    """Limits may be lowered without notice."""
     service = StateService(ManualClock())
     service.lower_limits(16, 2)
-    cluster, _ = placed(service, StateLimits(1e4, 1e4, 16.0, 12), [f"n-{number}" for number in range(9)])
+    cluster, _ = record_starts(
+        service, StateLimits(1e4, 1e4, 16.0, 12), [f"n-{number}" for number in range(9)]
+    )
     assert all(at.is_recorded for job in cluster.jobs.values() for at in job.placed.values())
 
 
 def recorded_job(tasks):
-    """A cluster with a job all of whose tasks are placed and recorded in one value, and its mark."""
+    """A cluster with a job all of whose tasks are placed and recorded in one value, and the modification
+    revisions of the store."""
     cluster, now = make_cluster(), seconds(1)
     cluster.teams = {}
     cluster.observe_job(JobRecord("open", spec(tasks=tasks), 64), 1)
@@ -189,18 +194,18 @@
 
 
 def test_what_was_recorded_before_a_split_stays_recorded():
-    """Starts that may be on their way would be taken for never sent when their job is aborted."""
+    """Starts that may be under way would be taken for never sent when their job is cancelled."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
     cluster._changes.mark_task_changed(job, 0)
     assert cluster.collect_writes(2, stored, max_value_bytes=460).size == 2 and job.ranges.overflow_starts
-    assert all(assignment.is_recorded for assignment in job.placed.values())
+    assert all(attempt.is_recorded for attempt in job.placed.values())
     cluster.observe_job(JobRecord("aborted", spec(tasks=40), 64), 9)
     assert len(job.placed) == 40
 
 
-def test_a_part_of_an_aborted_job_is_written_only_while_its_chunk_is_as_it_was():
-    """One that landed after the removal stayed for good, with placements."""
+def test_an_overflow_range_of_a_cancelled_job_requires_its_base_range_to_be_unchanged():
+    """One that is written after the removal would stay for good, with placements."""
     cluster, stored = recorded_job(40)
     cluster.observe_job(JobRecord("aborted", spec(tasks=40), 64), 9)
     cluster._changes.mark_task_changed(cluster.jobs["job-1"], 0)
@@ -211,12 +216,12 @@
     )
 
 
-def test_a_part_without_content_is_written_all_the_same():
+def test_an_empty_overflow_range_is_written():
     """Without it the stale entries of the value to its left would count for its tasks again."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
     cluster._changes.mark_task_changed(job, 0)
-    # The last tasks were never tried.
+    # The last tasks have had no attempt.
     for index in range(35, 40):
         job.placed.pop(index), job.attempts.pop(index)
     (write,) = cluster.collect_writes(1, stored, max_value_bytes=460).ranges
--- /dev/null
+++ b/tests/cluster_harness.py
@@ -0,0 +1,110 @@
+"""A cluster state for tests, with the shortest ways to feed it."""
+
+from datetime import timedelta
+
+from spindleglade.backfill.distributions import Bins, Predictor
+from spindleglade.backfill.plan import Placement, Plan
+from spindleglade.runtime.clock import seconds
+from spindleglade.settings import Team
+from spindleglade.submissions.messages import Submission
+from spindleglade.submissions.records import JobRecord
+from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.machines import MachineTypeCapacity
+from spindleglade.workers.messages import Command, Heartbeat, TaskStatus
+from spindleglade.workers.policy import WorkerPolicy
+
+TOKEN = 7
+POLICY = WorkerPolicy(seconds(10), seconds(1), 2, seconds(5), seconds(60))
+START = [Command("start", "job-1/0", 1)]
+
+
+def spec(id="job-1", tasks=2, **fields):
+    given = {
+        "id": id,
+        "job_class": "c",
+        "team": "t",
+        "kind": "array",
+        "priority": "normal",
+        "tasks": tasks,
+        "cpus": 2.0,
+        "gpus": 0.0,
+        "memory_gb": 1.0,
+        "image": "i",
+        "image_gb": 1.0,
+        "one_zone": False,
+        "spread": False,
+        "spot": True,
+        "checkpoint_s": 0.0,
+        "save_s": 0.0,
+        "estimate_s": 9.0,
+    } | fields
+    return Submission(**given)
+
+
+def make_cluster():
+    bins = Bins(seconds(1), 1.8)
+    return ClusterState(
+        TOKEN,
+        POLICY,
+        {"t": Team("t", 4.0, 8.0)},
+        {"m": MachineTypeCapacity(8.0, 0.0, 32.0, 50.0, 1.0)},
+        Predictor(bins, 3, 100),
+        timedelta(0),
+    )
+
+
+class Harness:
+    """A cluster with the shortest ways to feed it: job-1 has two tasks, and the machines one type."""
+
+    def __init__(self):
+        self.cluster = make_cluster()
+        self.now = seconds(100)
+        self.sequence = 0
+        self.cluster.observe_job(JobRecord("open", spec(), 1), 1)
+
+    def send_heartbeat(
+        self, *tasks, token=TOKEN, incarnation=1, renews_lease=True, machine="n-1", sequence=None
+    ):
+        """A heartbeat that lists these tasks; returns the commands of its response."""
+        self.sequence += 1
+        heartbeat = Heartbeat(
+            machine,
+            "x:1",
+            "m",
+            "z",
+            True,
+            incarnation,
+            sequence or self.sequence,
+            token,
+            [TaskStatus(*t) for t in tasks],
+        )
+        return self.cluster.on_heartbeat(heartbeat, self.now, renews_lease)
+
+    def place(self, index=0, machine="n-1"):
+        assert self.cluster.apply_plan(Plan(placements=[Placement("job-1", index, machine)]), self.now) == 1
+
+    def commit_writes(self):
+        """Writes all that is pending, as the state writer would."""
+        for write in self.cluster.collect_writes(99, {}).ranges:
+            self.cluster.on_range_committed(write.job, write.first_task, write.version)
+
+    def task_state(self, index=0):
+        return self.cluster.jobs["job-1"].task_states[index]
+
+    def direct_commands(self):
+        return [command for _, _, commands in self.cluster.take_direct_commands() for command in commands]
+
+    def on_commands_sent(self, commands, outcome_unknown):
+        self.cluster.on_commands_sent(self.cluster.machines["n-1"], commands, outcome_unknown, self.now)
+
+    def cancel(self):
+        self.cluster.observe_job(JobRecord("aborted", spec(), 1), 50)
+
+    def with_running_task(self):
+        """A harness with task 0 placed, recorded, started and shown running."""
+        self.send_heartbeat()
+        self.place()
+        self.commit_writes()
+        assert self.send_heartbeat() == START
+        self.send_heartbeat(("job-1/0", 1, "running"))
+        return self
