--- a/spindleglade/controller/pipelines.py
+++ b/spindleglade/controller/pipelines.py
@@ -1,5 +1,5 @@
 """Applies the dependency graph to the leader's cluster state: which jobs are released or cancelled through
-another one, and the priority and the latest start that a job takes over from the jobs that need it."""
+another one, and the priority and the latest start that a job inherits from its dependents."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -12,16 +12,17 @@
 from spindleglade.workers.cluster_state import ClusterState
 from spindleglade.workers.jobs import ChainMember
 
-# How long changes of pipelines are gathered before priorities and deadlines are passed on again.
-URGENCY_DELAY = seconds(0.2)
-# Share of the time that this may take.
-URGENCY_SHARE = 0.05
-# A job should start so many times its expected run time before it has to be done.
+# How long changes of pipelines are collected before the jobs' urgencies are computed again.
+MIN_URGENCY_DELAY = seconds(0.2)
+# Share of the event loop's time that computing urgencies may take.
+MAX_URGENCY_SHARE = 0.05
+# A job should start so many expected run times before its deadline.
 EXPECTED_RUNS_AHEAD = 2
 
 
 class PipelineUpdater:
-    """Keeps a cluster state up to date with the graph of the node's job views."""
+    """Keeps a cluster state up to date with the dependency graph of the controller's job views. All methods
+    are called from the event loop."""
 
     def __init__(
         self,
@@ -29,40 +30,41 @@
         views: JobViews,
         predictor: Predictor,
         clock: Clock,
-        changed: Callable[[], None],
+        on_changed: Callable[[], None],
     ) -> None:
-        """`changed` is called after a job was released, cancelled or awaited for the first time."""
+        """`on_changed` is called after a job was released or cancelled, or has got its first dependents."""
         self._cluster = cluster
         self._views = views
         self._predictor = predictor
         self._clock = clock
-        self._on_changed = changed
+        self._on_changed = on_changed
         self._stopped = False
+        # The timer of the next computation of urgencies, if one is due.
         self._timer: Any = None
-        self._delay = URGENCY_DELAY
+        self._urgency_delay = MIN_URGENCY_DELAY
 
     def stop(self) -> None:
         """Nothing more is applied."""
         self._stopped = True
 
     def update_all(self) -> None:
-        """Applies what the graph says of every job of the cluster state."""
+        """Applies the state of every job of the cluster state in the graph."""
         for job in list(self._cluster.jobs):
             self.update(job)
         self.update_urgency()
 
     def on_job_changed(self, job: str) -> None:
-        """The job was released, cancelled through an ancestor, or is now awaited by others."""
+        """The job was released, cancelled through an ancestor, or has got its first dependents."""
         if self._stopped:
             return
         self.update(job)
         self._on_changed()
         if self._timer is None:
-            # Many jobs may change at once, and the pass looks at all that are unfinished.
-            self._timer = self._clock.later(self._delay, self.update_urgency)
+            # Many jobs may change at once, and computing urgencies covers all unfinished ones.
+            self._timer = self._clock.later(self._urgency_delay, self.update_urgency)
 
     def update(self, job: str) -> None:
-        """Applies what the graph says of one job."""
+        """Applies the state of one job in the graph."""
         graph = self._views.graph
         if job not in self._cluster.jobs:
             return
@@ -70,23 +72,29 @@
         if graph.is_cancelled(job):
             self._cluster.cancel_through_dependency(job)
         elif not self._cluster.jobs[job].released and job in self._views.jobs and graph.is_released(job):
-            released = self._views.released_at(job)
-            age = ZERO if released is None else max(ZERO, self._clock.utc() - released)
-            self._cluster.release_job(job, self._clock.now(), age)
+            self._release(job)
+
+    def _release(self, job: str) -> None:
+        """Releases the job as of the time at which its last dependency was done."""
+        released_at = self._views.released_at(job)
+        # The time of day differs between controllers; an age must not become negative by that.
+        age = ZERO if released_at is None else max(ZERO, self._clock.utc() - released_at)
+        self._cluster.release_job(job, self._clock.now(), age)
 
     def update_urgency(self) -> None:
-        """Passes priorities and deadlines on from the ends of pipelines to their beginnings."""
+        """Computes urgencies: priorities and deadlines propagate from the ends of pipelines to the starts."""
         self._timer = None
         if self._stopped:
             return
-        began = self._clock.now()
+        started_at = self._clock.now()
         members = self._cluster.chain_members(self._views.graph.members())
         jobs = {name: self._chained_job(name, member) for name, member in members.items()}
         for name, urgency in urgencies(jobs).items():
             latest_start = _latest_start(jobs[name], urgency.deadline)
             self._cluster.set_urgency(name, urgency.rank, latest_start)
-        # With thousands of jobs in pipelines a pass takes long; reports and leases go first.
-        self._delay = max(URGENCY_DELAY, (self._clock.now() - began) / URGENCY_SHARE)
+        # With thousands of jobs in pipelines this takes long, and heartbeats and leases must not wait for it.
+        duration = self._clock.now() - started_at
+        self._urgency_delay = max(MIN_URGENCY_DELAY, duration / MAX_URGENCY_SHARE)
 
     def _chained_job(self, name: str, member: ChainMember) -> ChainedJob:
         expected = self._predictor.expected(member.team, member.estimate)
@@ -94,7 +102,7 @@
 
 
 def _latest_start(job: ChainedJob, deadline: timedelta | None) -> timedelta | None:
-    """When a job that others need should start; None where nothing needs it, or nothing is due."""
+    """When a job with dependents should start; None if it has none, or there is no deadline."""
     if not job.dependents or deadline is None:
         return None
     return deadline - job.expected * EXPECTED_RUNS_AHEAD
