--- a/spindleglade/controller/history_writer.py
+++ b/spindleglade/controller/history_writer.py
@@ -1,4 +1,4 @@
-"""Keeps the teams' histories of run times on record, so that the next leader predicts from them."""
+"""Writes the teams' histories of run times to the store, so that the next leader predicts from them."""
 
 import logging
 from collections.abc import Callable
@@ -15,8 +15,8 @@
 
 
 class HistoryWriter:
-    """Writes the histories that have changed. Each is conditional on the leader key and on its own mark: a
-    transaction without an answer may be carried out after newer ones of the same term."""
+    """Writes the histories that have changed. Each write depends on the leader key and on the mod revision of
+    its own key: a transaction with an unknown outcome may be applied after newer ones of the same term."""
 
     def __init__(
         self,
@@ -25,41 +25,47 @@
         client: StateClient,
         term: Term,
         mod_revisions: dict[str, int],
-        deposed: Callable[[str], None],
+        on_deposed: Callable[[str], None],
     ) -> None:
-        """`marks` are those of the histories in the store."""
+        """`mod_revisions` are those of the stored histories, by key. `on_deposed` is called, with the reason,
+        when a write shows that another term has begun."""
         self._cluster = cluster
         self._predictor = predictor
         self._client = client
         self._term = term
         self._mod_revisions = mod_revisions
-        self._on_deposed = deposed
+        self._on_deposed = on_deposed
         self._stopped = False
 
     def stop(self) -> None:
-        """No further answer is taken in."""
+        """No further response is applied, and no further write begun."""
         self._stopped = True
 
-    async def record(self) -> None:
-        """Writes the histories of all teams that have learned of runs since they were last written."""
-        with self._cluster.lock:
-            teams, self._cluster.teams_with_new_runs = self._cluster.teams_with_new_runs, set()
-            writes = [
-                Put(HISTORY + team, encode_value(self._predictor.export(team))) for team in sorted(teams)
-            ]
-        # Some 25 bins, a few hundred bytes. Bins set so fine that they do not fit are not kept.
-        writes = [put for put in writes if len(put.value) <= self._client.limits.value_bytes]
-        most = self._client.limits.operations
-        for at in range(0, len(writes), most):
-            if not await self._write(writes[at : at + most]):
+    async def write_changed(self) -> None:
+        """Writes the histories of all teams with new runs since they were last written."""
+        teams, writes = self._collect_writes()
+        batch_size = self._client.limits.operations
+        for first in range(0, len(writes), batch_size):
+            if not await self._write(writes[first : first + batch_size]):
                 with self._cluster.lock:
                     self._cluster.teams_with_new_runs |= teams
                 return
             if self._stopped:
                 return
 
+    def _collect_writes(self) -> tuple[set[str], list[Put]]:
+        """The teams with new runs, and the writes of their histories."""
+        with self._cluster.lock:
+            teams, self._cluster.teams_with_new_runs = self._cluster.teams_with_new_runs, set()
+            writes = [
+                Put(HISTORY + team, encode_value(self._predictor.export(team))) for team in sorted(teams)
+            ]
+        # Some 25 bins take a few hundred bytes. A history with so many bins that it does not fit is not kept.
+        limit = self._client.limits.value_bytes
+        return teams, [put for put in writes if len(put.value) <= limit]
+
     async def _write(self, puts: list[Put]) -> bool:
-        """Whether there is nothing to be written again."""
+        """Whether there is nothing left to write again."""
         conditions = [Condition(put.key, self._mod_revisions.get(put.key, 0)) for put in puts]
         try:
             result = await self._client.compare_and_swap([self._term.condition, *conditions], puts)
@@ -70,13 +76,14 @@
                 return True
             await self._on_condition_failed(result)
         except (NotAppliedError, OutcomeUnknownError) as error:
-            log.info("histories not recorded reason=%s", error)
+            log.info("histories not written reason=%s", error)
         return False
 
     async def _on_condition_failed(self, result: ConditionFailed) -> None:
-        """Another term has begun, or an unanswered write of this one was carried out."""
+        """Another term has begun, or a write of this one with an unknown outcome was applied. Raises
+        NotAppliedError or OutcomeUnknownError if the current mod revisions cannot be read."""
         if LEADER in result.failed:
-            self._on_deposed("a history was refused")
+            self._on_deposed("the leader key changed before a history was written")
             return
         for key in result.failed:
             entry = await self._client.get(key)
--- a/spindleglade/controller/running_leader.py
+++ b/spindleglade/controller/running_leader.py
@@ -24,7 +24,7 @@
 from spindleglade.workers.messages import Heartbeat, HeartbeatResponse
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 
-# Between two passes of the upkeep, and between two records of the teams' histories.
+# Between two passes of the upkeep, and between two writes of the teams' histories.
 UPKEEP_INTERVAL = seconds(1)
 HISTORY_INTERVAL = seconds(10)
 
@@ -64,7 +64,7 @@
         self._history_writer = HistoryWriter(
             self.cluster, predictor, dependencies.client, term, loader.history_mod_revisions, on_deposed
         )
-        self._history_task = self._periodic("histories", self._history_writer.record, HISTORY_INTERVAL)
+        self._history_task = self._periodic("histories", self._history_writer.write_changed, HISTORY_INTERVAL)
 
     def start(self) -> None:
         """Starts all components."""
--- a/spindleglade/controller/test_history_writer.py
+++ b/spindleglade/controller/test_history_writer.py
@@ -1,4 +1,4 @@
-"""The teams' histories of run times that a leader keeps on record."""
+"""The teams' histories of run times that a leader writes to the store."""
 
 import msgspec
 from twisted.internet.defer import Deferred
@@ -17,16 +17,21 @@
 
 
 class Store:
-    """Keeps values and marks. Of the transactions whose number is in `late` the answer is lost, and they are
-    carried out when the test says so."""
+    """Keeps values and mod revisions. Transactions whose number is in `delayed` have an unknown outcome, and
+    are applied by `apply_delayed`; with `response_delay`, the responses to the others wait for it."""
 
-    def __init__(self, late=()):
+    def __init__(self, delayed=()):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
-        self.revision, self.keys, self.asked, self.late = 10, {LEADER: (b"{}", 5)}, 0, set(late)
-        self.held, self.slow = [], None
+        self.revision, self.keys = 10, {LEADER: (b"{}", 5)}
+        self.transactions, self.delayed_numbers = 0, set(delayed)
+        self.delayed, self.response_delay = [], None
 
     def _apply(self, conditions, writes):
-        failed = {at.key for at in conditions if self.keys.get(at.key, (b"", 0))[1] != at.mod_revision}
+        failed = {
+            condition.key
+            for condition in conditions
+            if self.keys.get(condition.key, (b"", 0))[1] != condition.mod_revision
+        }
         if failed:
             return ConditionFailed(frozenset(failed), self.revision)
         self.revision += 1
@@ -35,75 +40,76 @@
         return Committed(self.revision)
 
     async def compare_and_swap(self, conditions, writes, urgent=False):
-        self.asked += 1
-        if self.asked in self.late:
-            self.held.append((conditions, writes))
+        self.transactions += 1
+        if self.transactions in self.delayed_numbers:
+            self.delayed.append((conditions, writes))
             raise OutcomeUnknownError("timed out")
         result = self._apply(conditions, writes)
-        if self.slow is not None:
-            await self.slow
+        if self.response_delay is not None:
+            await self.response_delay
         return result
 
-    def land(self):
-        for conditions, writes in self.held:
+    def apply_delayed(self):
+        for conditions, writes in self.delayed:
             self._apply(conditions, writes)
 
     async def get(self, key):
         return Entry(key, msgspec.Raw(self.keys[key][0]), self.keys[key][1]) if key in self.keys else None
 
 
-def make_recorder(store):
-    """A recorder of histories, its cluster state, and what it was deposed for."""
+def make_writer(store):
+    """A history writer, its cluster state, and the reasons for which it was deposed."""
     cluster, deposed = make_cluster(), []
     predictor = new_predictor(OperatorSettings().backfill)
-    recorder = HistoryWriter(cluster, predictor, store, Term(TOKEN, 5, 1), {}, deposed.append)
-    return recorder, cluster, deposed
+    writer = HistoryWriter(cluster, predictor, store, Term(TOKEN, 5, 1), {}, deposed.append)
+    return writer, cluster, deposed
 
 
-def learn(recorder, runs):
+def write_runs(writer, runs):
+    """Adds as many runs to the history of a team and lets the writer write it."""
     for _ in range(runs):
-        recorder._predictor.add("t", seconds(9))
-    recorder._cluster.teams_with_new_runs = {"t"}
-    run_in_background(recorder.record(), "history")
+        writer._predictor.add("t", seconds(9))
+    writer._cluster.teams_with_new_runs = {"t"}
+    run_in_background(writer.write_changed(), "history")
 
 
-def runs_on_record(store):
+def stored_runs(store):
     return sum(msgspec.json.decode(store.keys[HISTORY + "t"][0])["counts"])
 
 
 def test_a_late_history_does_not_undo_a_newer_one():
-    """They were conditional on the leader key alone, which is the same for all of a term."""
-    store = Store(late=[1])
-    recorder, cluster, deposed = make_recorder(store)
-    learn(recorder, 1)
+    """A condition on the leader key alone would not prevent it: the key stays the same for all of a term."""
+    store = Store(delayed=[1])
+    writer, cluster, deposed = make_writer(store)
+    write_runs(writer, 1)
     assert cluster.teams_with_new_runs == {"t"}
-    learn(recorder, 1)
-    assert runs_on_record(store) == 2 and not cluster.teams_with_new_runs
-    store.land()
-    assert runs_on_record(store) == 2 and not deposed
+    write_runs(writer, 1)
+    assert stored_runs(store) == 2 and not cluster.teams_with_new_runs
+    store.apply_delayed()
+    assert stored_runs(store) == 2 and not deposed
 
 
-def test_a_late_history_that_came_first_is_written_over():
-    store = Store(late=[1])
-    recorder, cluster, deposed = make_recorder(store)
-    learn(recorder, 1)
-    store.land()
-    learn(recorder, 1)
-    # Refused: what is there was read, and it is written the next time.
-    assert runs_on_record(store) == 1 and cluster.teams_with_new_runs == {"t"}
-    learn(recorder, 1)
-    assert runs_on_record(store) == 3 and not deposed
+def test_a_delayed_history_that_was_applied_first_is_overwritten():
+    store = Store(delayed=[1])
+    writer, cluster, deposed = make_writer(store)
+    write_runs(writer, 1)
+    store.apply_delayed()
+    write_runs(writer, 1)
+    # The condition failed: the mod revision was read, and the history is written the next time.
+    assert stored_runs(store) == 1 and cluster.teams_with_new_runs == {"t"}
+    write_runs(writer, 1)
+    assert stored_runs(store) == 3 and not deposed
 
 
 def test_a_refused_history_deposes_its_own_term_only():
     store = Store()
     store.keys[LEADER] = (b"{}", 6)
-    recorder, cluster, deposed = make_recorder(store)
-    learn(recorder, 1)
+    writer, cluster, deposed = make_writer(store)
+    write_runs(writer, 1)
     assert len(deposed) == 1 and HISTORY + "t" not in store.keys
-    # An answer that comes after the term is over says nothing to the next, which may be this node's.
-    store.slow = Deferred()
-    learn(recorder, 1)
-    recorder.stop()
-    store.slow.callback(None)
+    # A response after the end of the term must not affect the next one, which may be this controller's.
+    store.response_delay = Deferred()
+    write_runs(writer, 1)
+    writer.stop()
+    store.response_delay.callback(None)
     assert len(deposed) == 1
--- a/spindleglade/controller/test_recovery.py
+++ b/spindleglade/controller/test_recovery.py
@@ -30,25 +30,25 @@
     return RecordLoader(cluster, predictor, replica or FakeReplica(), clock or ManualClock())
 
 
-def test_a_record_that_cannot_be_read_stops_no_leader_and_its_job_is_left_alone():
+def test_an_undecodable_record_stops_no_recovery_and_its_job_is_ignored():
     """One such record must not keep every controller from leading."""
     loader = make_loader(make_cluster())
     opened = {id: encode_value(JobRecord("open", spec(id), 256)) for id in ("job-1", "job-2", "job-3")}
-    chunk = encode_value(TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)}))
+    placed = encode_value(TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)}))
     entries = [
         Entry(HISTORY + "t", encode_value([]), 2),
         Entry(job_key("job-1"), opened["job-1"], 3),
         Entry(job_key("job-2"), encode_value({"stage": "resting"}), 4),
         Entry(job_key("job-3"), opened["job-3"], 5),
-        Entry(range_key("job-1", 0), chunk, 6),
-        Entry(range_key("job-2", 0), chunk, 7),
-        Entry(range_key("job-3", 0), chunk, 8),
+        Entry(range_key("job-1", 0), placed, 6),
+        Entry(range_key("job-2", 0), placed, 7),
+        Entry(range_key("job-3", 0), placed, 8),
         Entry(range_key("job-3", 1), encode_value({"placed": 3}), 9),
-        Entry("sg/task/job-4/x", chunk, 10),
+        Entry("sg/task/job-4/x", placed, 10),
     ]
     loader.load(entries, timedelta(0))
     assert set(loader.cluster.jobs) == {"job-1"} and loader.range_mod_revisions == {range_key("job-1", 0): 6}
     assert [job for job, _ in loader.cluster.pending_writes] == []
-    # Nor when the replica tells of it later.
+    # Nor is the job observed when the replica shows its record later.
     loader.observe_job(JobRecord("open", spec("job-3"), 256), 5)
     assert set(loader.cluster.jobs) == {"job-1"}
