--- a/spindleglade/fleet/autoscaler.py
+++ b/spindleglade/fleet/autoscaler.py
@@ -90,7 +90,7 @@
 
     @property
     def needs_headroom(self) -> bool:
-        """Whether work has to start sooner than a machine boots, so that machines must stand ready."""
+        """Whether work has to start sooner than a machine boots, so that machines are kept ready."""
         return self._headroom.is_needed
 
     @property
--- a/spindleglade/fleet/capacity.py
+++ b/spindleglade/fleet/capacity.py
@@ -35,7 +35,10 @@
         # Of each machine: the number of its pool, and what it has free.
         self._pools_of_machines = np.zeros(0, np.int64)
         self._free = np.zeros((0, RESOURCE_COUNT))
-        self._append([machine[:3] for machine in machines], [machine[3:] for machine in machines])
+        self._append(
+            [(machine.type, machine.zone, machine.spot) for machine in machines],
+            [(machine.cpus, machine.gpus, machine.memory) for machine in machines],
+        )
 
     def _append(self, pools: list[tuple[str, str, bool]], free: ArrayLike) -> None:
         """Adds machines of the pools, which may be plain tuples: with thousands of machines it takes time to
--- a/spindleglade/fleet/headroom.py
+++ b/spindleglade/fleet/headroom.py
@@ -28,7 +28,7 @@
 
     @property
     def is_needed(self) -> bool:
-        """Whether work has to start sooner than the fastest machine boots, so that machines must stand ready.
+        """Whether work has to start sooner than the fastest machine boots, so that machines are kept ready.
         The settings do not say whether money counts; it is taken to, except here. An objective that leaves
         time for a boot does not ask for headroom, which costs a multiple."""
         types = self._supply.types()
--- a/spindleglade/fleet/health_probes.py
+++ b/spindleglade/fleet/health_probes.py
@@ -67,6 +67,7 @@
         self._start_probes()
 
     def _survey_heartbeats(self, now: timedelta) -> _HeartbeatSurvey:
+        """The caller holds the cluster's lock."""
         survey = _HeartbeatSurvey()
         for machine in self._cluster.machines.values():
             if not machine.address:
--- a/spindleglade/fleet/machine_list.py
+++ b/spindleglade/fleet/machine_list.py
@@ -32,6 +32,7 @@
 
     @classmethod
     def of(cls, cluster: ClusterState) -> "_KnownMachines":
+        """What the cluster state knows now."""
         with cluster.lock:
             machines = cluster.machines.values()
             return cls(
--- a/spindleglade/fleet/messages.py
+++ b/spindleglade/fleet/messages.py
@@ -14,7 +14,7 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """A machine type: what it has, what it costs, how long it boots, and where there are any."""
+    """A machine type: what it has, what it costs, how long it boots, and in which zones it exists."""
 
     name: str
     cpus: float = msgspec.field(name="vcpus")
--- a/spindleglade/fleet/parameters.py
+++ b/spindleglade/fleet/parameters.py
@@ -41,7 +41,7 @@
     types: Callable[[], list[MachineType]]
     # Zones of the machine types that name none themselves.
     zones: list[str]
-    # The shortest time to a start that an objective of the deployment allows; None: there is no such one.
+    # The shortest time to a start that an objective of the deployment allows; None: no objective says.
     min_start_objective: timedelta | None
 
 
--- a/spindleglade/fleet/provisioning.py
+++ b/spindleglade/fleet/provisioning.py
@@ -21,7 +21,7 @@
 
     # On-demand machines come before spot ones whatever they cost: they are not taken away.
     is_preferred: bool = False
-    # The jobs that get them though they may use spot machines, besides the demand marked so; None: all do.
+    # The jobs that may use them as well as spot machines, besides the demand marked so; None: all jobs.
     jobs: frozenset[str] | None = None
 
     def allows(self, demand: UnplacedDemand) -> bool:
@@ -36,7 +36,7 @@
 
 
 class _DemandGroup(NamedTuple):
-    """Unplaced demand of the same kind, of one job or several."""
+    """Unplaced demand that fits the same machines, of one job or several."""
 
     job: JobView
     task_count: int
--- a/spindleglade/fleet/scale_in.py
+++ b/spindleglade/fleet/scale_in.py
@@ -28,6 +28,7 @@
     surplus_cpus: float
 
     def of(self, machine: Machine) -> timedelta:
+        """How long this machine may be idle."""
         return self.spot if machine.spot else self.on_demand
 
 
@@ -51,7 +52,15 @@
         self._zone_partitions = ZonePartitionDetector(context.cluster, state, limits.probe)
 
     def run(self, now: timedelta) -> None:
-        """Terminates the machines for which there is a reason now."""
+        """One pass: terminates the machines that are idle, lost, or of no use now."""
+        reasons = self._reasons_by_machine(now)
+        for name in self._boot_timeouts(now):
+            reasons[name] = TerminationReason.BOOT_TIMEOUT
+        if reasons:
+            self._termination.terminate(reasons)
+
+    def _reasons_by_machine(self, now: timedelta) -> dict[str, TerminationReason]:
+        """The cluster's machines to be terminated; nothing is placed on them any more."""
         idle_limits = self._idle_limits()
         reasons: dict[str, TerminationReason] = {}
         with self._cluster.lock:
@@ -65,10 +74,7 @@
                 if reason is not None:
                     machine.terminating = True
                     reasons[machine.name] = reason
-        for name in self._boot_timeouts(now):
-            reasons[name] = TerminationReason.BOOT_TIMEOUT
-        if reasons:
-            self._termination.terminate(reasons)
+        return reasons
 
     def _idle_limits(self) -> _IdleLimits:
         settings = self._settings
--- a/spindleglade/fleet/scale_out.py
+++ b/spindleglade/fleet/scale_out.py
@@ -21,7 +21,7 @@
 # Provisioning requests under way at once.
 MAX_PENDING_REQUESTS = 4
 
-# On-demand machines come first where machines must stand ready; else only marked demand gets them.
+# On-demand machines come first where headroom is needed; else only the demand marked so gets them.
 ON_DEMAND_FOR_HEADROOM = OnDemandUse(is_preferred=True)
 ON_DEMAND_IF_MARKED = OnDemandUse(jobs=frozenset())
 
@@ -140,14 +140,14 @@
 
     def _demand_with_on_demand_allowed(self, now: timedelta) -> list[UnplacedDemand]:
         """The unplaced demand, marked where on-demand machines may be provisioned for it though its jobs may
-        use spot machines. Where headroom is needed, the marks make no difference."""
+        use spot machines. Where headroom is needed, all demand may use them."""
         if self._headroom.is_needed:
             return self._unplaced_demand
         has_spot = self._has_spot_machines(now)
         return self._on_demand_policy.allow(self._unplaced_demand, self._cluster.has_begun, has_spot, now)
 
     def _has_spot_machines(self, now: timedelta) -> bool:
-        """Whether any spot machine is there or boots. Pending requests do not count: one machine pool after
+        """Whether any spot machine is present or boots. Pending requests do not count: one machine pool after
         the other is requested, and all may be rejected."""
         with self._cluster.lock:
             if any(machine.spot for machine in self._cluster.machines.values()):
--- a/spindleglade/fleet/termination.py
+++ b/spindleglade/fleet/termination.py
@@ -31,7 +31,7 @@
     SILENT_AND_UNANSWERED = "silent and does not answer"
     UNREACHABLE = "does not hear"
     QUARANTINED = "faulty"
-    # A start of a cancelled job may still arrive there, and nothing else can take it back.
+    # A start of a cancelled job may still arrive there, and nothing else can prevent that it runs.
     UNACKNOWLEDGED_START = "unsure start of an aborted job"
     BOOT_TIMEOUT = "boots too long"
     FAILED = "failed"
