--- a/spindleglade/controller/connectivity.py
+++ b/spindleglade/controller/connectivity.py
@@ -33,7 +33,9 @@
         self._clock = clock
         self._replica = replica
         self._election = election
-        self._max_replica_age_ms = settings.confirm_s * (MAX_CATCH_UP_INTERVALS * MILLISECONDS_PER_SECOND)
+        self._max_replica_age_ms = settings.catch_up_interval_s * (
+            MAX_CATCH_UP_INTERVALS * MILLISECONDS_PER_SECOND
+        )
         self._proof_validity = proof_validity
         self._has_peers = has_peers
         self._peers = peers
--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -95,14 +95,14 @@
             self._clock,
             params.state,
             self._platform.controller_count,
-            seconds(store.timeout_s),
+            seconds(store.request_timeout_s),
         )
         self.replica = Replica(
             self.client,
             self._clock,
             PREFIX,
-            seconds(store.watch_s),
-            seconds(store.confirm_s),
+            seconds(store.max_watch_wait_s),
+            seconds(store.catch_up_interval_s),
             lambda: self.client.request_interval,
         )
         self.views = JobViews()
@@ -111,7 +111,12 @@
         cloud = self._platform.external.cloud
         self.cloud = CloudClient(http, cloud, self._clock, params.cloud.rps, CLOUD_TIMEOUT)
         self.types = MachineTypeCatalog(
-            self.cloud, self.client, self.replica, self._clock, self._settings.fleet.types_s, self._leads
+            self.cloud,
+            self.client,
+            self.replica,
+            self._clock,
+            self._settings.fleet.types_interval_s,
+            self._leads,
         )
 
     def _create_election(self) -> None:
@@ -131,7 +136,7 @@
         """What concerns the peers: connectivity, heartbeats, requests, and the monitor of leadership."""
         platform, settings, clock = self._platform, self._settings, self._clock
         workers = platform.params.workers
-        proof_validity = seconds(settings.store.confirm_s + settings.leadership.lease_s)
+        proof_validity = seconds(settings.store.catch_up_interval_s + settings.leadership.lease_s)
         self._connectivity = PeerConnectivity(
             clock,
             self.replica,
--- a/spindleglade/controller/recovery.py
+++ b/spindleglade/controller/recovery.py
@@ -55,10 +55,10 @@
     policy = WorkerPolicy(
         workers.lease,
         workers.heartbeat_interval,
-        settings.workers.faulty_jobs,
+        settings.workers.quarantine_after_failed_jobs,
         seconds(settings.workers.backoff_s),
-        seconds(settings.workers.backoff_most_s),
-        seconds(settings.backfill.overdue_s),
+        seconds(settings.workers.max_backoff_s),
+        seconds(settings.backfill.overdue_after_s),
     )
     return ClusterState(
         token,
--- a/spindleglade/controller/running_leader.py
+++ b/spindleglade/controller/running_leader.py
@@ -137,7 +137,7 @@
             self.cluster,
             self._dependencies.machine_requester,
             self._clock,
-            seconds(self._dependencies.settings.workers.order_timeout_s),
+            seconds(self._dependencies.settings.workers.command_timeout_s),
             DispatcherEvents(self._on_deposed, self._on_changed),
             self._cancellation_freshness,
         )
@@ -175,7 +175,7 @@
             Planner(settings.tau, settings.preempt),
             self._clock,
             self._dependencies.compute,
-            seconds(settings.round_s),
+            seconds(settings.planning_interval_s),
             self._on_planned,
         )
 
--- a/spindleglade/settings/operator.py
+++ b/spindleglade/settings/operator.py
@@ -39,9 +39,9 @@
     preempt: Literal["none", "saving", "guarantees", "all"] = "saving"
     # How long a job may go without a start before it is overdue: some of its tasks start before all others,
     # and capacity is reserved for them. Well under the four minutes within which even the largest must begin.
-    overdue_s: Seconds = 120.0
+    overdue_after_s: Seconds = msgspec.field(name="overdue_s", default=120.0)
     # Shortest time between two planning passes.
-    round_s: Seconds = 0.1
+    planning_interval_s: Seconds = msgspec.field(name="round_s", default=0.1)
 
 
 class WorkerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -55,17 +55,17 @@
     # the time within which a cancellation takes effect.
     cancel_margin_s: Seconds = 3.0
     # Timeout of a command sent straight to a machine.
-    order_timeout_s: Seconds = 2.0
+    command_timeout_s: Seconds = msgspec.field(name="order_timeout_s", default=2.0)
     # Timeout of a relayed heartbeat, after which a follower may renew the lease without the leader.
     relay_timeout_s: Seconds = 1.0
     # For how long a follower gathers heartbeats before it relays them.
     relay_window_s: Seconds = 0.02
     # Jobs that must have failed on a machine before it is terminated as faulty.
-    faulty_jobs: Count = 2
+    quarantine_after_failed_jobs: Count = msgspec.field(name="faulty_jobs", default=2)
     # First backoff of a job that fails on several machines, doubled each time up to the second figure. After
     # it one task at a time is tried until one has run for longer than the backoff, or is done.
     backoff_s: Seconds = 5.0
-    backoff_most_s: Seconds = 60.0
+    max_backoff_s: Seconds = msgspec.field(name="backoff_most_s", default=60.0)
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -91,7 +91,7 @@
     max_capacity_backoff_s: Seconds = msgspec.field(name="refused_most_s", default=30.0)
     # Time between two requests of the list of machines, and of machine types.
     list_interval_s: Seconds = msgspec.field(name="list_s", default=4.0)
-    types_s: Seconds = 30.0
+    types_interval_s: Seconds = msgspec.field(name="types_s", default=30.0)
     # How long a job must have waited before on-demand machines are provisioned for it though it may use spot
     # ones. For best-effort jobs none are.
     on_demand_delay_s: Seconds = msgspec.field(name="ordinary_wait_s", default=600.0)
@@ -103,10 +103,10 @@
     """Requests to the state service."""
 
     # Longest time between two catch-ups of a controller's replica with the state service.
-    confirm_s: Seconds = 1.0
+    catch_up_interval_s: Seconds = msgspec.field(name="confirm_s", default=1.0)
     # How long a watch waits for changes, and how long any other request may take.
-    watch_s: Seconds = 15.0
-    timeout_s: Seconds = 1.5
+    max_watch_wait_s: Seconds = msgspec.field(name="watch_s", default=15.0)
+    request_timeout_s: Seconds = msgspec.field(name="timeout_s", default=1.5)
 
 
 class LeadershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
