--- a/spindleglade/cli.py
+++ b/spindleglade/cli.py
@@ -7,6 +7,7 @@
 import sys
 from collections.abc import Sequence
 from datetime import UTC, datetime
+from typing import Any
 
 from spindleglade.settings import OperatorSettings, Platform, SettingsError, load_operator, load_platform
 
@@ -67,17 +68,19 @@
     # of machines that wait for this controller end meanwhile.
     gc.disable()
     # Imported late, so that a bad settings file is reported at once.
-    from twisted.internet import reactor
+    from twisted.internet import reactor as installed_reactor
     from twisted.python.log import PythonLoggingObserver
 
     from spindleglade.controller.wiring import run_controller
 
+    # The interface of the reactor declares its methods without `self`.
+    reactor: Any = installed_reactor
     PythonLoggingObserver("twisted").start()
     logging.getLogger("twisted").setLevel(logging.ERROR)
     run_controller(platform, settings, reactor)
     gc.freeze()
     gc.enable()
-    reactor.run()  # type: ignore[attr-defined]
+    reactor.run()
     return EXIT_OK
 
 
--- a/spindleglade/http/client.py
+++ b/spindleglade/http/client.py
@@ -8,7 +8,7 @@
 from twisted.web.client import Agent, HTTPConnectionPool, readBody
 from twisted.web.http_headers import Headers
 from twisted.web.iweb import IAgentEndpointFactory, IBodyProducer
-from zope.interface import implementer
+from zope.interface import implementer  # type: ignore[import-untyped]  # It has no annotations.
 
 from spindleglade.http.connection_budget import ConnectionBudget
 from spindleglade.http.errors import NoResponseError, NotSentError
@@ -64,7 +64,7 @@
         self._reactor = reactor
         pool = HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = connections_per_host
-        pool.cachedConnectionTimeout = IDLE_LIMIT.total_seconds()
+        pool.cachedConnectionTimeout = int(IDLE_LIMIT.total_seconds())
         # Only the callers know whether a request without a response may be repeated.
         pool.retryAutomatically = False
         self._pool = pool
--- a/spindleglade/http/errors.py
+++ b/spindleglade/http/errors.py
@@ -9,6 +9,7 @@
     Attributes:
         reason: Why there is no response, for people.
         operation: What failed, such as "POST /txn"; None if unknown.
+
     """
 
     def __init__(self, reason: str = "no response", operation: str | None = None) -> None:
--- a/spindleglade/http/server.py
+++ b/spindleglade/http/server.py
@@ -1,12 +1,13 @@
 """The HTTP server: hands every request to one coroutine, and closes connections that nobody uses."""
 
 import logging
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable, Coroutine
 from datetime import timedelta
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, cast
 
 import msgspec
 from twisted.internet import defer
+from twisted.internet.protocol import connectionDone
 from twisted.web import http, server
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET, Request, Site
@@ -39,7 +40,7 @@
 encode_json = msgspec.json.encode
 
 # Takes method, path and body. A body over BODY_LIMIT is cut, or replaced, to just above the limit.
-Handler = Callable[[str, str, bytes], Awaitable[HttpResponse]]
+Handler = Callable[[str, str, bytes], Coroutine[Any, Any, HttpResponse]]
 
 
 class RequestResource(Resource):
@@ -48,7 +49,7 @@
     isLeaf = True
 
     def __init__(self, handler: Handler) -> None:
-        super().__init__()
+        super().__init__()  # type: ignore[no-untyped-call]  # Twisted's
         self._handler = handler
 
     def render(self, request: Request) -> int:
@@ -57,7 +58,9 @@
         disconnects: list[Any] = []
         request.notifyFinish().addErrback(disconnects.append)
         path = request.path.decode("utf-8", "replace")
-        running = defer.ensureDeferred(self._handler(request.method.decode("ascii", "replace"), path, body))
+        running: defer.Deferred[Any] = defer.ensureDeferred(
+            self._handler(request.method.decode("ascii", "replace"), path, body)
+        )
         running.addErrback(self._on_handler_failed, path)
         running.addCallback(self._send_response, request, disconnects)
         return NOT_DONE_YET
@@ -98,22 +101,22 @@
     is_worker = False
 
     def connectionMade(self) -> None:
-        super().connectionMade()
+        super().connectionMade()  # type: ignore[no-untyped-call]  # Twisted's
         self.last_used_at = self.site.clock.now()
         self.site.channels.add(self)
         self.site.connection_budget.on_opened()
 
-    def connectionLost(self, reason: Any) -> None:
+    def connectionLost(self, reason: Any = connectionDone) -> None:
         self.site.channels.discard(self)
         self.site.connection_budget.on_closed()
-        super().connectionLost(reason)
+        super().connectionLost(reason)  # type: ignore[no-untyped-call]  # Twisted's
 
 
 class _Request(server.Request):
     def process(self) -> None:
         # All paths lead to one resource; finding it, and sending date and server, would cost each of hundreds
         # of heartbeats a second a tenth of its time.
-        channel = self.channel
+        channel = cast(_Channel, self.channel)
         channel.last_used_at = channel.site.clock.now()
         channel.is_worker = self.path == HEARTBEAT_PATH
         channel.site.resource.render(self)
@@ -134,7 +137,7 @@
         worker_idle_limit: timedelta,
     ) -> None:
         # Bodies are JSON; looking whether they are forms takes a quarter of a request's time.
-        super().__init__(
+        super().__init__(  # type: ignore[no-untyped-call]  # Twisted's
             RequestResource(handler), requestFactory=_Request, timeout=None, parsePOSTFormSubmission=False
         )
         self.channels: set[Any] = set()
@@ -163,7 +166,7 @@
 ) -> HttpServer:
     """A server to listen with; a worker's connection is closed once it is idle for `worker_idle_limit`."""
     site = HttpServer(handler, connection_budget, clock, worker_idle_limit)
-    site.protocol = _Channel
+    site.protocol = _Channel  # type: ignore[assignment]  # A channel class makes channels.
     site.displayTracebacks = False
     # The access log is off: it would cost more than the request itself.
     site.log = lambda request: None  # type: ignore[method-assign]
--- a/spindleglade/leadership/peer_connection.py
+++ b/spindleglade/leadership/peer_connection.py
@@ -101,7 +101,7 @@
                 await sleep(self._clock, remaining)
 
     async def _connect(self, host: str, port: int) -> None:
-        factory = Factory.forProtocol(lambda: PeerProtocol(self._on_message, self._on_protocol_closed))
+        factory: Any = Factory.forProtocol(lambda: PeerProtocol(self._on_message, self._on_protocol_closed))
         factory.noisy = False
         interval_s = self._heartbeat_interval.total_seconds()
         timeout = max(MIN_CONNECT_TIMEOUT_S, interval_s * CONNECT_TIMEOUT_INTERVALS)
--- a/spindleglade/leadership/peer_network.py
+++ b/spindleglade/leadership/peer_network.py
@@ -65,7 +65,7 @@
             None,
         )
 
-    def server_factory(self) -> Factory:
+    def server_factory(self) -> "Factory[PeerProtocol]":
         """Makes the protocols for the connections that peers open to this controller."""
         factory = Factory.forProtocol(lambda: PeerProtocol(self._on_request, lambda connection: None))
         factory.noisy = False
--- a/spindleglade/leadership/peer_transport.py
+++ b/spindleglade/leadership/peer_transport.py
@@ -23,6 +23,8 @@
     """Either end of a connection between two controllers; each message follows its length in four bytes."""
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
+    # Set by Twisted before connectionMade is called.
+    transport: Any
 
     def __init__(
         self,
@@ -53,7 +55,7 @@
     def send(self, message: Message) -> None:
         """Sends a message unless the connection is closed."""
         if self.connected:
-            self.sendString(encode_message(message))
+            self.sendString(encode_message(message))  # type: ignore[no-untyped-call]  # Twisted's
 
     def connectionLost(self, reason: Any = None) -> None:
         """Called by Twisted when the connection is closed by either end."""
--- a/spindleglade/store/client.py
+++ b/spindleglade/store/client.py
@@ -4,6 +4,7 @@
 request was certainly not carried out; `OutcomeUnknownError`, it may have been, or may still be.
 """
 
+from collections.abc import Sequence
 from datetime import timedelta
 from typing import Any, TypeVar
 
@@ -147,7 +148,7 @@
         return _decode(operation, response.body, ListResponse)
 
     async def compare_and_swap(
-        self, conditions: list[Condition], writes: list[Put | Delete], urgent: bool = False
+        self, conditions: list[Condition], writes: Sequence[Put | Delete], urgent: bool = False
     ) -> Committed | ConditionFailed:
         """Carries out all writes if all conditions hold, and none otherwise.
 
@@ -159,7 +160,7 @@
         else:
             await self._rate_limits.wait_for_transaction(len(writes))
         operation = "transaction"
-        response = await self._send(operation, "POST", "/txn", TransactionRequest(conditions, writes))
+        response = await self._send(operation, "POST", "/txn", TransactionRequest(conditions, list(writes)))
         if response.status == 200:
             return Committed(_decode(operation, response.body, CommitResponse).revision)
         if response.status == 409:
--- a/spindleglade/store/errors.py
+++ b/spindleglade/store/errors.py
@@ -12,6 +12,7 @@
         reason: Why it failed, for people.
         operation: The call that failed and what it was about, such as "get sg/leader"; None if unknown.
         status: The HTTP status that the state service answered; None if there was no answer.
+
     """
 
     default_reason = "failed"
