--- a/spindleglade/workers/errors.py
+++ b/spindleglade/workers/errors.py
@@ -6,8 +6,10 @@
 
 
 class StaleTokenError(WorkerProtocolError):
-    """A worker has seen a higher token than this leader's."""
+    """A machine has acknowledged a later leader, by a higher token than this leader's."""
 
-    def __init__(self, token: int) -> None:
-        super().__init__(f"token {token}")
+    def __init__(self, machine: str, token: int, own_token: int) -> None:
+        super().__init__(f"machine {machine} has acknowledged token {token}, above this leader's {own_token}")
+        self.machine = machine
         self.token = token
+        self.own_token = own_token
--- a/spindleglade/workers/heartbeat_reconciliation.py
+++ b/spindleglade/workers/heartbeat_reconciliation.py
@@ -39,7 +39,7 @@
         renews its lease and may carry commands; a status that the leader requested does not. Returns the
         commands, or None if the machine is terminated or its lease must run out."""
         if heartbeat.token > self._data.token:
-            raise StaleTokenError(heartbeat.token)
+            raise StaleTokenError(heartbeat.machine, heartbeat.token, self._data.token)
         if heartbeat.machine in self._data.terminated:
             return None
         machine = self._data.machines.get(heartbeat.machine)
@@ -176,7 +176,7 @@
             machine.acknowledged_token = True
 
     def _observe_termination_notice(self, machine: Machine, warning_s: float | None, now: timedelta) -> None:
-        """The cloud has, or has not, told the machine how soon it takes it away."""
+        """The machine has, or has not, been notified how soon the cloud takes it away."""
         if warning_s is None:
             machine.terminates_at = None
             return
