--- a/spindleglade/fleet/machine_list.py
+++ b/spindleglade/fleet/machine_list.py
@@ -12,6 +12,7 @@
 from spindleglade.fleet.termination import MachineTermination, TerminationReason
 from spindleglade.runtime.clock import ZERO, seconds
 from spindleglade.workers.cluster_state import ClusterState
+from spindleglade.workers.machines import MachineLocation
 
 log = logging.getLogger("spindleglade.fleet")
 
@@ -83,7 +84,7 @@
         known = _KnownMachines.of(self._cluster)
         current = [machine for machine in listed if machine.name not in self._state.terminating]
         self._cluster.observe_listed_machines(
-            [(machine.name, machine.address, machine.zone) for machine in current if _is_running(machine)]
+            [MachineLocation(item.name, item.address, item.zone) for item in current if _is_running(item)]
         )
         for machine in current:
             self._introduce_leader_to(machine, known)
--- a/spindleglade/workers/cluster_state.py
+++ b/spindleglade/workers/cluster_state.py
@@ -21,7 +21,7 @@
 from spindleglade.workers.jobs import ChainMember, Job
 from spindleglade.workers.machine_registry import MachineRegistry
 from spindleglade.workers.machine_usability import MachineUsability
-from spindleglade.workers.machines import Machine, MachineReachability, MachineTypeCapacity
+from spindleglade.workers.machines import Machine, MachineLocation, MachineReachability, MachineTypeCapacity
 from spindleglade.workers.messages import Command, Heartbeat
 from spindleglade.workers.planning_bridge import PlanningBridge
 from spindleglade.workers.policy import WorkerPolicy
@@ -93,10 +93,10 @@
         with self.lock:
             self._machine_registry.on_machine_terminated(name, reason)
 
-    def observe_listed_machines(self, listed: Iterable[tuple[str, str, str]]) -> None:
-        """Names, addresses and zones, as the cloud lists them."""
+    def observe_listed_machines(self, locations: Iterable[MachineLocation]) -> None:
+        """The cloud's list of running machines."""
         with self.lock:
-            self._machine_registry.observe_listed_machines(listed)
+            self._machine_registry.observe_listed_machines(locations)
 
     def on_leases_renewed_by_peer(self, names: Iterable[str], now: timedelta) -> None:
         """A peer renews these machines' leases."""
--- a/spindleglade/workers/machine_registry.py
+++ b/spindleglade/workers/machine_registry.py
@@ -6,7 +6,7 @@
 
 from spindleglade.workers.attempts import EndReason
 from spindleglade.workers.cluster_data import ClusterData
-from spindleglade.workers.machines import Machine
+from spindleglade.workers.machines import Machine, MachineLocation
 from spindleglade.workers.state_changes import StateChanges
 
 log = logging.getLogger("spindleglade.workers")
@@ -30,11 +30,11 @@
             self._changes.end_attempt(attempt, EndReason.MACHINE_TERMINATED)
         del self._data.machines[name]
 
-    def observe_listed_machines(self, listed: Iterable[tuple[str, str, str]]) -> None:
-        """Names, addresses and zones, as the cloud lists them (see `ListedMachine`). The status of machines
-        that have sent this leader no heartbeat yet can be requested then; without an address, one that died
-        with the leader before would be waited for until a whole lease is over."""
-        for name, address, zone in listed:
+    def observe_listed_machines(self, locations: Iterable[MachineLocation]) -> None:
+        """The cloud's list of running machines. The status of machines that have sent this leader no
+        heartbeat yet can be requested then; without an address, one that died with the leader before would
+        be waited for until a whole lease is over."""
+        for name, address, zone in locations:
             machine = self._data.machines.get(name)
             if machine is not None and not machine.address:
                 machine.address, machine.zone = address, zone
--- a/spindleglade/workers/machines.py
+++ b/spindleglade/workers/machines.py
@@ -20,7 +20,7 @@
     pull_gb_per_s: float
 
 
-class ListedMachine(NamedTuple):
+class MachineLocation(NamedTuple):
     """Where the cloud says that a machine is."""
 
     name: str
@@ -28,6 +28,13 @@
     zone: str
 
 
+class ReservedCapacity(NamedTuple):
+    """Capacity that only one job may use for a while."""
+
+    task_count: int
+    until: timedelta
+
+
 @dataclass(slots=True, eq=False)
 class Machine:
     """A machine: what its heartbeats say, what is placed on it, and whether it can be reached."""
@@ -76,8 +83,8 @@
     failed_jobs: set[str] = field(default_factory=set)
     # Images in its cache and their sizes in GB, least recently used first.
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
-    # Tasks that a job may still place here, and until when.
-    reserved_capacity: dict[str, tuple[int, timedelta]] = field(default_factory=dict)
+    # By the job that it is reserved for.
+    reserved_capacity: dict[str, ReservedCapacity] = field(default_factory=dict)
     command_in_flight: bool = False
     # The tasks of the latest heartbeat, if they are all as placed and no command is pending; else None.
     reconciled_tasks: list[TaskStatus] | None = None
--- a/spindleglade/workers/planning_bridge.py
+++ b/spindleglade/workers/planning_bridge.py
@@ -10,7 +10,7 @@
 from spindleglade.workers.cluster_data import ClusterData
 from spindleglade.workers.jobs import PLACED, WAITING, Job, grace_period_s
 from spindleglade.workers.machine_usability import MachineUsability
-from spindleglade.workers.machines import Machine, MachineTypeCapacity
+from spindleglade.workers.machines import Machine, MachineTypeCapacity, ReservedCapacity
 from spindleglade.workers.messages import split_task
 from spindleglade.workers.state_changes import StateChanges
 from spindleglade.workers.views import UNKNOWN_TYPE, JobCircumstances, job_view, machine_view
@@ -62,9 +62,9 @@
             view = machine.planning_view = machine_view(machine, capacity)
         view.is_usable = self._usability.unusable_reason(machine, now) is None
         view.reserved_capacity = {
-            job: count
-            for job, (count, until) in machine.reserved_capacity.items()
-            if until > now and count > 0
+            job: reserved.task_count
+            for job, reserved in machine.reserved_capacity.items()
+            if reserved.until > now and reserved.task_count > 0
         }
         return view
 
@@ -128,7 +128,8 @@
         for name, job_id, task_count in plan.reserved_capacity:
             machine = self._data.machines.get(name)
             if machine is not None:
-                machine.reserved_capacity[job_id] = (task_count, now + self._data.policy.lease)
+                until = now + self._data.policy.lease
+                machine.reserved_capacity[job_id] = ReservedCapacity(task_count, until)
         return count
 
     def _apply_placements(self, placements: list[Placement], now: timedelta) -> int:
@@ -178,8 +179,7 @@
         machine.idle_since = None
         reserved = machine.reserved_capacity.get(job.id)
         if reserved is not None:
-            task_count, until = reserved
-            machine.reserved_capacity[job.id] = (task_count - 1, until)
+            machine.reserved_capacity[job.id] = reserved._replace(task_count=reserved.task_count - 1)
 
     def _apply_preemption(self, preemption: Preemption) -> None:
         machine = self._data.machines.get(preemption.machine)
