--- a/tests/simulated_deployment.py
+++ b/tests/simulated_deployment.py
@@ -20,7 +20,6 @@
 from tests.invariants.placement_invariants import PlacementInvariants
 from tests.invariants.service_invariants import ServiceInvariants
 from tests.processes import Errors
-from tests.simulated_peer_network import connect_peers
 from tests.simulation.connections import OpenConnections
 from tests.simulation.controller_processes import ControllerProcesses
 from tests.simulation.endpoints import Endpoints
@@ -31,6 +30,7 @@
 from tests.simulation.job_records import JobRecords
 from tests.simulation.machines import SimulatedMachines
 from tests.simulation.network import SimulatedNetwork
+from tests.simulation.peer_connections import connect_peers
 from tests.simulation.users import SimulatedUsers
 
 # Between two checks of all rules.
--- a/tests/simulated_peer_network.py
+++ b/tests/simulation/peer_connections.py
@@ -27,7 +27,7 @@
     def __init__(self, deployment: "SimulatedDeployment", own: str, other: str, on_message: Any) -> None:
         self._deployment, self._own, self._other = deployment, own, other
         self._on_message = on_message
-        self._lives = [deployment.processes.clocks[own], deployment.processes.clocks[other]]
+        self._clocks = [deployment.processes.clocks[own], deployment.processes.clocks[other]]
         self.peer: SimulatedPeerConnection | None = None
         self.transport = self
         # Called when the process at either end ends.
@@ -42,16 +42,16 @@
         deployment.network.pass_to_peer(self._own, self._other, lambda: self._arrive(received))
 
     def _arrive(self, message: Message) -> None:
-        if self.peer is not None and all(life.alive for life in self._lives):
+        if self.peer is not None and all(clock.alive for clock in self._clocks):
             self.peer._on_message(self.peer, message)
 
     def abortConnection(self) -> None:
         """Closes this end."""
         self._deployment.network.peer_connections.pop(self, None)
 
-    def end_with(self, life: LifeClock) -> None:
-        """Closes the connection if it belongs to the process that has ended."""
-        if life in self._lives:
+    def end_with(self, clock: LifeClock) -> None:
+        """Closes the connection if the clock of the process that has ended is that of either end."""
+        if clock in self._clocks:
             self.abortConnection()
             self.on_closed()
 
@@ -66,11 +66,11 @@
 async def _connect(
     deployment: "SimulatedDeployment", own: str, connection: PeerConnection, host: str, port: int
 ) -> None:
-    other, life = connection.peer.name, deployment.processes.clocks[own]
+    other, clock = connection.peer.name, deployment.processes.clocks[own]
     if other not in deployment.controllers:
         raise ConnectionRefusedError
     if deployment.network.is_cut(own, other) and other not in deployment.network.silent:
-        await sleep(life, CONNECT_TIMEOUT)
+        await sleep(clock, CONNECT_TIMEOUT)
         raise TimeoutError
     near = SimulatedPeerConnection(deployment, own, other, connection._on_message)
     far = SimulatedPeerConnection(deployment, other, own, deployment.controllers[other].peers._on_request)
@@ -78,7 +78,7 @@
 
     def on_closed() -> None:
         if connection._connection is near:
-            _close_by_peer(connection, life)
+            _close_by_peer(connection, clock)
 
     near.on_closed = on_closed
     deployment.network.peer_connections[near] = None
@@ -86,6 +86,7 @@
 
 
 def _close_by_peer(connection: PeerConnection, clock: Clock) -> None:
+    """Does what the connection does when the other end closes it, in either version."""
     if is_of_production(connection):
         connection._closed_at = clock.now()
         connection._on_connection_lost()
