--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -222,9 +222,11 @@
         return await self.users.handle(method, path, body)
 
     def _leads(self) -> bool:
+        """The property `is_leader` as a callback for the slices."""
         return self.is_leader
 
     def _on_elected(self, term: Term) -> None:
+        """This controller has won an election: its leader begins the recovery."""
         dependencies = LeaderDependencies(
             platform=self._platform,
             settings=self._settings,
@@ -243,11 +245,13 @@
         self.leader.start()
 
     def _on_deposed(self, reason: str) -> None:
+        """The term is over."""
         if self.leader is not None:
             leader, self.leader = self.leader, None
             leader.stop()
 
     def _on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
+        """Passes lease renewals by peers and changed job records on to the leader."""
         if self.leader is not None and key.startswith(LEASE_RENEWALS) and value is not None:
             self.leader.on_leases_renewed_by_peer(msgspec.json.decode(value, type=list[str]))
         if self.leader is not None and key.startswith(JOBS) and value is not None:
@@ -258,4 +262,5 @@
             self.leader.on_dependency_changed(job)
 
     def _handle_as_leader(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
+        """The leader's response; None if this controller does not lead, or the lease must not be renewed."""
         return self.leader.on_heartbeat(heartbeat) if self.leader is not None else None
--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -68,10 +68,9 @@
 
     async def _fail_over(self) -> None:
         """Recovers the cluster state from all records, and begins to act on it."""
-        recovered = await self._recovery.run()
-        if recovered is None:
+        loader = await self._recovery.run()
+        if loader is None:
             return
-        loader, listing = recovered
         self._running = running = RunningLeader(
             self.term, loader, self._predictor, self._dependencies, self._on_deposed
         )
@@ -80,7 +79,7 @@
             self.term.token,
             len(running.cluster.jobs),
             sum(len(job.placed) for job in running.cluster.jobs.values()),
-            len(listing.entries),
+            loader.entry_count,
         )
         running.start()
 
--- a/spindleglade/controller/recovery.py
+++ b/spindleglade/controller/recovery.py
@@ -95,6 +95,8 @@
         self.range_mod_revisions: dict[str, int] = {}
         # Mod revisions of the teams' stored histories, by key.
         self.history_mod_revisions: dict[str, int] = {}
+        # Entries of the listing that was loaded.
+        self.entry_count = 0
         self._predictor = predictor
         self._replica = replica
         self._clock = clock
@@ -102,6 +104,7 @@
 
     def load(self, entries: list[Entry], now: timedelta) -> None:
         """Applies all entries of a listing."""
+        self.entry_count = len(entries)
         for entry in entries:
             if entry.key.startswith((JOBS, DEPENDENCIES)):
                 # The listing may be ahead of the watch, and the dependency graph follows the replica.
@@ -188,8 +191,8 @@
         """Keeps the change until the listing has been applied."""
         self._pending_changes.append((record, mod_revision))
 
-    async def run(self) -> tuple[RecordLoader, Listing] | None:
-        """The loader, with all records applied, and the listing that it read; None if it was stopped."""
+    async def run(self) -> RecordLoader | None:
+        """The loader, with all records and changes applied; None if the recovery was stopped first."""
         listing = await self._read_listing()
         if listing is None:
             return None
@@ -199,7 +202,7 @@
         loader.load(listing.entries, now)
         for record, mod_revision in self._pending_changes:
             loader.observe_job(record, mod_revision)
-        return loader, listing
+        return loader
 
     async def _read_listing(self) -> Listing | None:
         """All that the store holds; None if the recovery was stopped first."""
--- a/spindleglade/controller/running_leader.py
+++ b/spindleglade/controller/running_leader.py
@@ -191,7 +191,7 @@
         return self._periodic("upkeep", upkeep.run_once, UPKEEP_INTERVAL)
 
     def _periodic(self, name: str, run_once: Callable[[], Awaitable[None]], delay: timedelta) -> PeriodicTask:
-        """A task that waits for `delay` before each pass."""
+        """A task that waits for `delay` before each pass, the first one included."""
         return PeriodicTask(self._clock, name, run_once, partial(sleep, self._clock, delay), waits_first=True)
 
     def _on_changed(self) -> None:
--- a/spindleglade/controller/wiring.py
+++ b/spindleglade/controller/wiring.py
@@ -36,6 +36,7 @@
     sockets = ConnectionBudget(platform.params.machine_limits.sockets)
 
     def connect(*handlers: Any) -> PeerNetwork:
+        # Takes the fields of PeerHandlers one by one, as every version's controller passes them.
         return PeerNetwork(
             reactor, clock, platform.peers, seconds(settings.leadership.ping_s), PeerHandlers(*handlers)
         )
