--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -2,34 +2,23 @@
 
 import msgspec
 import pytest
-from hypothesis import settings
-from hypothesis import strategies as st
-from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from twisted.internet.defer import Deferred
 
 from spindleglade.backfill.plan import Placement, Plan
-from spindleglade.controller.test_recovery import make_loader
-from spindleglade.http.client import ClientResponse
-from spindleglade.http.errors import NoResponseError
 from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import StateLimits
-from spindleglade.store.client import StateClient
 from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
 from spindleglade.store.messages import Committed, ConditionFailed, Entry, Put, encode_value
 from spindleglade.submissions.records import (
-    JOBS,
-    OVERFLOW_RANGES,
     TASK_RANGES,
     JobRecord,
     TaskRangeRecord,
     job_key,
     range_key,
 )
-from spindleglade.workers.messages import Heartbeat, TaskStatus
+from spindleglade.workers.messages import Heartbeat
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 from tests.cluster_harness import TOKEN, make_cluster, spec
-from tests.fakes.state_service import StateService
 
 
 class Store:
@@ -226,256 +215,6 @@
     assert not cluster.jobs
 
 
-class UnreliableConnection:
-    """Carries one leader's requests to the state service, each with a fate drawn beforehand: answered,
-    answered slowly, rejected, applied without a response, or delayed without a response and applied later."""
-
-    def __init__(self, story):
-        self.story = story
-
-    async def request(self, method, address, path, body=None, timeout=None):
-        story = self.story
-        fate = story.fates.pop(0) if story.fates else "ok"
-        if fate == "not applied":
-            return ClientResponse(503, b"{}")
-        if fate == "delayed":
-            if method == "POST":
-                story.delayed.append((method, path, body))
-            raise NoResponseError("timed out")
-        response = ClientResponse(*story.service.handle(method, path, body or b""))
-        if response.status == 400:
-            # Checked for each leader: it does not know what was rejected for the one before.
-            rejected = (story.token, msgspec.json.encode(msgspec.json.decode(body)["writes"]))
-            assert rejected not in story.too_large, "repeated unchanged"
-            story.too_large.append(rejected)
-        if fate == "response lost":
-            raise NoResponseError("timed out")
-        if fate == "slow":
-            waiter = Deferred()
-            story.clock.later(seconds(1), waiter.callback, None)
-            await waiter
-        return response
-
-
-ANY_JOB, ANY_MACHINE = st.sampled_from(["job-1", "job-2"]), st.sampled_from(["n-1", "n-2"])
-
-
-INDICES = st.sets(st.integers(0, 4), min_size=1)
-FATES = st.lists(st.sampled_from(["ok", "slow", "not applied", "response lost", "delayed"]), max_size=5)
-
-
-class RecordsStory(RuleBasedStateMachine):
-    """Successive leaders with their writers, a state service whose responses are late, lost or rejections,
-    users who cancel, and workers who carry out their commands. Whatever their order, a task is on one machine
-    at most, final records stay and are true, and in the end all jobs are final, and no range is left."""
-
-    SIZES = {"job-1": 5, "job-2": 1}
-    CHUNK = 2
-    LIMITS = StateLimits(1e4, 1e4, 16.0, 12)
-    # As many tasks as are placed and end at a time while all is brought to its end.
-    AT_ONCE = 9
-
-    def __init__(self):
-        super().__init__()
-        self.clock = ManualClock()
-        self.service = StateService(self.clock)
-        self.fates, self.delayed, self.observed, self.too_large = [], [], 0, []
-        self.machines = {name: {} for name in ("n-1", "n-2")}
-        self.incarnations = dict.fromkeys(self.machines, 1)
-        self.sequences = dict.fromkeys(self.machines, 0)
-        self.tokens = dict.fromkeys(self.machines, 0)
-        self.done, self.given, self.final = set(), {}, {}
-        self.token, self.writer = 0, None
-        for job, tasks in self.SIZES.items():
-            self.write(job_key(job), JobRecord("open", spec(job, tasks), self.CHUNK))
-        self.lead()
-
-    def write(self, key, value):
-        self.service._write([{"set": key, "v": msgspec.json.decode(msgspec.json.encode(value))}])
-
-    def stored(self, prefix):
-        return {key: value for key, (value, _, _) in self.service.keys.items() if key.startswith(prefix)}
-
-    def entries(self):
-        return [
-            Entry(key, encode_value(value), mod_revision)
-            for key, (value, mod_revision, _) in sorted(self.service.keys.items())
-        ]
-
-    def lead(self):
-        if self.writer is not None:
-            self.writer.stop()
-        self.token += 1
-        self.write(LEADER, {})
-        term = Term(self.token, self.service.revision, 1)
-        client = StateClient(UnreliableConnection(self), "", self.clock, self.LIMITS, 1, seconds(1))
-        self.cluster = make_cluster()
-        self.cluster.token = self.token
-        loader = make_loader(self.cluster, clock=self.clock)
-        loader.load(self.entries(), self.clock.now())
-        self.cluster.finish_loading()
-        self.deposed = []
-        self.writer = StateWriter(
-            self.cluster,
-            client,
-            self.clock,
-            term,
-            loader.range_mod_revisions,
-            StateWriterEvents(lambda: None, self.deposed.append),
-        )
-        self.writer.start()
-
-    @rule(length=st.sampled_from([0.01, 0.2, 0.7, 2.0]))
-    def wait(self, length):
-        self.writer.wake()
-        self.clock.advance(seconds(length))
-
-    @rule(at=st.integers(0, 3))
-    def apply_delayed_request(self, at):
-        if self.delayed:
-            self.service.handle(*self.delayed.pop(min(at, len(self.delayed) - 1)))
-
-    @rule(most=st.integers(1, 4))
-    def show_changes(self, most):
-        """Shows the next changes by the replica, which may be behind what the leader has read."""
-        changes = [change for change in self.service.log if change.get("set", "").startswith(JOBS)]
-        for change in changes[self.observed : self.observed + most]:
-            record = msgspec.convert(change["v"], JobRecord)
-            self.cluster.observe_job(record, change["mark"], self.clock.now())
-            self.observed += 1
-        self.writer.wake()
-
-    @rule(machine=ANY_MACHINE)
-    def report(self, machine):
-        self.sequences[machine] += 1
-        tasks = [TaskStatus(*key, *how) for key, how in self.machines[machine].items()]
-        heartbeat = Heartbeat(
-            machine, "x:1", "m", "z", True, self.incarnations[machine], self.sequences[machine],
-            self.tokens[machine], tasks,
-        )  # fmt: skip
-        commands = self.cluster.on_heartbeat(heartbeat, self.clock.now(), True)
-        self.tokens[machine] = self.token
-        for command in commands:
-            key, there = (command.task, command.attempt), self.machines[machine]
-            if command.operation == "start" and key not in there:
-                assert self.given.setdefault(key, machine) == machine, "an attempt started on two machines"
-                there[key] = ("exited", "done") if command.task in self.done else ("running",)
-            elif command.operation == "stop" and there.get(key) == ("running",):
-                there[key] = ("exited", "halted")
-            elif command.operation == "clear" and key in there:
-                assert there[key][0] == "exited"
-                del there[key]
-        self.writer.wake()
-
-    @rule(job=ANY_JOB, indices=INDICES, to=ANY_MACHINE, fates=FATES)
-    def place(self, job, indices, to, fates):
-        # The response to the first heartbeat may be the one by which the machine learns the new token.
-        self.report(to)
-        self.report(to)
-        self.fates = fates
-        if job in self.cluster.jobs:
-            starts = [Placement(job, index, to) for index in sorted(indices) if index < self.SIZES[job]]
-            self.cluster.apply_plan(Plan(placements=starts), self.clock.now())
-            self.wait(0.01)
-            self.report(to)
-
-    @rule(machine=ANY_MACHINE, fates=FATES, most=st.integers(1, 3))
-    def tasks_end(self, machine, fates, most):
-        running = [key for key, how in self.machines[machine].items() if how == ("running",)]
-        for key in running[:most]:
-            self.machines[machine][key] = ("exited", "done")
-            self.done.add(key[0])
-        if running:
-            self.fates = fates
-            self.report(machine)
-
-    @rule(machine=ANY_MACHINE)
-    def lease_ends(self, machine):
-        self.machines[machine].clear()
-        self.incarnations[machine] += 1
-        self.sequences[machine] = 0
-
-    @rule(job=ANY_JOB, chance=st.integers(0, 3))
-    def cancel(self, job, chance):
-        if chance < 3:
-            return
-        record = msgspec.convert(self.service.keys[job_key(job)][0], JobRecord)
-        if record.state == "open":
-            self.write(job_key(job), JobRecord("aborted", record.spec, record.range_size))
-
-    @rule(chance=st.integers(0, 3))
-    def leader_changes(self, chance):
-        if chance == 3:
-            self.lead()
-
-    @invariant()
-    def a_task_is_on_one_machine_at_most(self):
-        running = [
-            task
-            for there in self.machines.values()
-            for (task, _), how in there.items()
-            if how == ("running",)
-        ]
-        assert len(running) == len(set(running)), running
-
-    @invariant()
-    def what_is_final_stays_and_is_true(self):
-        for job, tasks in self.SIZES.items():
-            state = self.service.keys[job_key(job)][0]["stage"]
-            assert self.final.setdefault(job, state) == state if state != "open" else job not in self.final
-            if state == "done":
-                assert all(f"{job}/{index}" in self.done for index in range(tasks))
-
-    def settle(self):
-        for _ in range(3):
-            while self.delayed:
-                self.apply_delayed_request(0)
-            self.show_changes(9)
-            for machine in self.machines:
-                self.report(machine)
-            self.wait(2.0)
-
-    def teardown(self):
-        self.fates = []
-        self.settle()
-        assert not self.deposed
-        for job in self.cluster.jobs.values():
-            for first in [*job.ranges.range_starts, *job.ranges.overflow_starts]:
-                key = job.ranges.key(job.id, first)
-                stored = self.stored(key).get(key)
-                task_range = (
-                    None
-                    if stored is None
-                    else msgspec.json.decode(encode_value(stored), type=TaskRangeRecord)
-                )
-                end = job.ranges.end(first)
-                if job.ranges.is_overflow(first) or job.ranges.is_overflow(end):
-                    # What lies beyond the next overflow range's start is stale; that stays though empty.
-                    assert (task_range or TaskRangeRecord()).restricted_to(first, end) == (
-                        job.encode_range(first) or TaskRangeRecord()
-                    )
-                else:
-                    assert task_range == job.encode_range(first)
-        for _ in range(3):
-            for job in list(self.cluster.jobs.values()):
-                self.place(job.id, job.waiting_tasks(self.AT_ONCE), "n-1", [])
-            self.settle()
-            for machine in self.machines:
-                self.tasks_end(machine, [], self.AT_ONCE)
-            self.settle()
-            self.what_is_final_stays_and_is_true()
-        # A record of a finished job may have come late; the next leader removes what is left of it.
-        self.lead()
-        self.settle()
-        assert self.final.keys() == self.SIZES.keys() and not self.cluster.jobs
-        assert not self.stored(TASK_RANGES) and not self.stored(OVERFLOW_RANGES)
-        assert not any(self.machines.values())
-
-
-TestRecordsStory = RecordsStory.TestCase
-TestRecordsStory.settings = settings(max_examples=300, stateful_step_count=100)
-
-
 def test_a_write_that_raises_is_suspended_and_the_rest_is_written():
     """One batch that raises must not end the writer, and with it every start of every job."""
 
--- a/spindleglade/workers/test_task_range_splitting.py
+++ b/spindleglade/workers/test_task_range_splitting.py
@@ -18,7 +18,7 @@
 from spindleglade.workers.jobs import DONE
 from spindleglade.workers.messages import Heartbeat, split_task
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
-from spindleglade.workers.test_state_writer import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
+from spindleglade.workers.test_state_writer_sequences import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
 from tests.cluster_harness import TOKEN, make_cluster, spec
 from tests.fakes.state_service import StateService
 
