--- a/spindleglade/fleet/machine_types.py
+++ b/spindleglade/fleet/machine_types.py
@@ -17,8 +17,8 @@
 from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
 from spindleglade.store.messages import Committed, Condition, Put, encode_value
 from spindleglade.store.replica import Replica
-from spindleglade.submissions.messages import MachineShape
 from spindleglade.submissions.records import TYPES
+from spindleglade.submissions.schedulability import MachineShape
 from spindleglade.workers.machines import MachineTypeCapacity
 
 log = logging.getLogger("spindleglade.fleet")
--- a/spindleglade/submissions/messages.py
+++ b/spindleglade/submissions/messages.py
@@ -6,8 +6,6 @@
 import msgspec
 
 from spindleglade.runtime.decoding import decode
-from spindleglade.settings.platform import Team
-from spindleglade.submissions.errors import UnschedulableJobError, UnschedulableReason
 
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=500)]
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
@@ -126,16 +124,6 @@
     running: int
 
 
-class MachineShape(msgspec.Struct, frozen=True):
-    """The part of a machine type that decides which tasks fit."""
-
-    name: str
-    cpus: float
-    gpus: float
-    memory_gb: float
-    zones: tuple[str, ...]
-
-
 def decode_submission(body: bytes) -> Submission:
     """Raises msgspec.DecodeError (of which its ValidationError is one) on anything malformed."""
     return decode(_submissions.decode, body)
@@ -156,26 +144,3 @@
     except (msgspec.DecodeError, UnicodeDecodeError):
         # A body that cannot be decoded at all repeats no submission.
         return None
-
-
-def check_schedulable(job: Submission, teams: dict[str, Team], shapes: list[MachineShape]) -> None:
-    """Raises UnschedulableJobError for a job that can never run, whatever else runs."""
-    team = teams.get(job.team)
-    if team is None:
-        raise UnschedulableJobError(job.id, UnschedulableReason.UNKNOWN_TEAM)
-    tasks_at_once = job.tasks if job.is_gang else 1
-    if job.cpus * tasks_at_once > team.cpus_max or job.gpus * tasks_at_once > team.gpus_max:
-        raise UnschedulableJobError(job.id, UnschedulableReason.OVER_TEAM_LIMIT)
-    if not any(_fits(job, shape) for shape in shapes):
-        raise UnschedulableJobError(job.id, UnschedulableReason.FITS_NO_MACHINE_TYPE)
-
-
-def _fits(job: Submission, shape: MachineShape) -> bool:
-    """Whether a task of the job may run on machines of this type, and fits them."""
-    return (
-        (job.types is None or shape.name in job.types)
-        and (job.zone is None or not shape.zones or job.zone in shape.zones)
-        and job.cpus <= shape.cpus
-        and job.gpus <= shape.gpus
-        and job.memory_gb <= shape.memory_gb
-    )
--- a/spindleglade/submissions/submission.py
+++ b/spindleglade/submissions/submission.py
@@ -21,15 +21,14 @@
 from spindleglade.submissions.errors import SubmissionError, UnschedulableJobError, UnschedulableReason
 from spindleglade.submissions.messages import (
     JobStatus,
-    MachineShape,
     Submission,
-    check_schedulable,
     decode_dependencies,
     decode_job_reference,
     decode_submission,
 )
 from spindleglade.submissions.records import JobRecord, JobState, job_key, tasks_per_range
 from spindleglade.submissions.responses import RETRY_LATER, TOO_LARGE, error_response, job_response
+from spindleglade.submissions.schedulability import MachineShape, check_schedulable
 from spindleglade.submissions.status import StatusReader
 from spindleglade.submissions.views import JobViews
 
--- a/spindleglade/submissions/test_messages.py
+++ b/spindleglade/submissions/test_messages.py
@@ -9,12 +9,8 @@
 
 from spindleglade.settings import Team
 from spindleglade.submissions.errors import UnschedulableJobError
-from spindleglade.submissions.messages import (
-    MachineShape,
-    check_schedulable,
-    decode_job_reference,
-    decode_submission,
-)
+from spindleglade.submissions.messages import decode_job_reference, decode_submission
+from spindleglade.submissions.schedulability import MachineShape, check_schedulable
 
 GOOD = {
     "ref": "job-000412",
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -42,6 +42,7 @@
 from spindleglade.submissions.acceptance import acceptance_writes
 from spindleglade.submissions.api import UserApi
 from spindleglade.submissions.job_view import JobView
+from spindleglade.submissions.schedulability import MachineShape
 from spindleglade.submissions.task_ranges import TaskRanges
 from spindleglade.workers import messages as workers
 from spindleglade.workers.api import LeaderAccess, WorkerApi
@@ -120,7 +121,7 @@
 }
 
 # Structs that never leave the process.
-INTERNAL: list[type[msgspec.Struct]] = [users.MachineShape, JobView, term.Term]
+INTERNAL: list[type[msgspec.Struct]] = [MachineShape, JobView, term.Term]
 
 PIECES = TaskRanges(100, 250, [120, 210])
 
