--- a/spindleglade/controller/recovery.py
+++ b/spindleglade/controller/recovery.py
@@ -125,8 +125,8 @@
             return
         # The time of day differs between controllers; a job's age must not become negative by that.
         age = ZERO
-        if record.accepted is not None:
-            age = max(age, self._clock.utc() - record.accepted)
+        if record.accepted_at is not None:
+            age = max(age, self._clock.utc() - record.accepted_at)
         self.cluster.observe_job(record, mod_revision, self._clock.now(), age)
 
     def _decode(self, entry: Entry, decoded: _DecodedRecords) -> None:
--- a/spindleglade/submissions/records.py
+++ b/spindleglade/submissions/records.py
@@ -45,13 +45,13 @@
     # Tasks in a range; fixed when the job is accepted, so that later settings cannot move the boundaries.
     range_size: int = msgspec.field(name="chunk")
     # When the job was accepted, by the time of day of the controller that accepted it.
-    accepted: datetime | None = None
+    accepted_at: datetime | None = msgspec.field(name="accepted", default=None)
     # Jobs that must be done before any task of this one starts; only while the job is open.
     dependencies: list[str] = []
     # How many further keys hold the rest of the dependencies.
     dependency_keys: int = 0
     # When all tasks were known to be done, by the leader's time of day.
-    finished: datetime | None = None
+    finished_at: datetime | None = msgspec.field(name="finished", default=None)
 
     @property
     def has_dependencies(self) -> bool:
--- a/spindleglade/submissions/test_dependencies.py
+++ b/spindleglade/submissions/test_dependencies.py
@@ -167,7 +167,7 @@
     at = datetime(2026, 1, 1, tzinfo=UTC)
     views = JobViews()
     accepted = JobRecord("open", spec("job-3"), 8, at, ["job-1", "job-2"])
-    apply(views, record(1, "done", finished=at + timedelta(seconds=9)), record(2, "done"))
+    apply(views, record(1, "done", finished_at=at + timedelta(seconds=9)), record(2, "done"))
     apply(views, Put(job_key("job-3"), encode_value(accepted)))
     assert views.released_at("job-3") == at + timedelta(seconds=9)
 
--- a/spindleglade/submissions/views.py
+++ b/spindleglade/submissions/views.py
@@ -45,11 +45,11 @@
         """When the last of the job's dependencies was done, or when the job was accepted if that was later;
         None if neither is on record."""
         record = self.jobs[job].record
-        times = [record.accepted]
+        times = [record.accepted_at]
         for name in self.dependency_lists.dependencies(record):
             dependency = self.jobs.get(name)
             if dependency is not None:
-                times.append(dependency.record.finished)
+                times.append(dependency.record.finished_at)
         return max((time for time in times if time is not None), default=None)
 
     def cancellations_since(self, revision: int) -> list[tuple[str, int]] | None:
--- a/spindleglade/workers/jobs.py
+++ b/spindleglade/workers/jobs.py
@@ -80,7 +80,7 @@
         self.spec = record.spec
         self.id = record.spec.id
         self.range_size = record.range_size
-        self.accepted = record.accepted
+        self.accepted = record.accepted_at
         # Submission order is the order in which the store committed the records.
         self.submission_revision = mod_revision
         self.mod_revision = mod_revision
--- a/spindleglade/workers/write_transaction.py
+++ b/spindleglade/workers/write_transaction.py
@@ -31,7 +31,7 @@
 def set_finished_time(batch: WriteBatch, finished: datetime) -> None:
     """Puts the time at which they finished into the records of the jobs that are done."""
     batch.done = [
-        (job, mod_revision, msgspec.structs.replace(record, finished=finished))
+        (job, mod_revision, msgspec.structs.replace(record, finished_at=finished))
         for job, mod_revision, record in batch.done
     ]
 
