--- a/spindleglade/leadership/monitor.py
+++ b/spindleglade/leadership/monitor.py
@@ -41,13 +41,16 @@
     @property
     def stall_reason(self) -> str | None:
         """Why its periodic tasks get nothing done; None if they do."""
+        ...
 
     @property
     def is_unreachable_for_machines(self) -> bool:
         """Whether its messages do not arrive at the machines, though their heartbeats arrive here."""
+        ...
 
     def receives_no_heartbeats(self, limit: timedelta) -> bool:
         """Whether there are machines, but no heartbeat of any of them has arrived within the limit."""
+        ...
 
 
 class Connectivity(Protocol):
@@ -56,15 +59,19 @@
     @property
     def has_peers(self) -> bool:
         """Whether the deployment has other controllers at all."""
+        ...
 
     def reaches_a_peer(self) -> bool:
         """Whether the connection to some peer is up."""
+        ...
 
     def reaches_a_serving_peer(self) -> bool:
         """Whether the connection to a peer that has lately reached the store is up."""
+        ...
 
     def is_leadership_proven(self) -> bool:
         """Whether this controller would have learned lately of a higher token, had there been one."""
+        ...
 
 
 class LeadershipMonitor:
