--- a/spindleglade/backfill/distributions.py
+++ b/spindleglade/backfill/distributions.py
@@ -30,7 +30,7 @@
     ) -> None:
         first_end_s = first_end.total_seconds()
         self.count = 2 + max(0, math.ceil(math.log(max_run.total_seconds() / first_end_s, factor)))
-        self.ends: Array = first_end_s * factor ** np.arange(self.count)
+        self.ends: Array = (first_end_s * factor ** np.arange(self.count)).astype(float)
         # Log-uniform interpolation needs a start above zero; bin 0 is as wide in logarithm as the others.
         self.starts: Array = self.ends / factor
         self._width = math.log(factor)
@@ -109,7 +109,8 @@
         if not self._use_history or self.runs(team) < self._min_runs:
             return None
         counts = self._counts[team]
-        return counts / counts.sum()
+        model: Array = counts / counts.sum()
+        return model
 
     def remaining(self, team: str, estimate: timedelta, elapsed: timedelta) -> tuple[Array, Array]:
         """Seconds from now to each possible end, in ascending order, and their weights."""
--- a/spindleglade/backfill/machine_columns.py
+++ b/spindleglade/backfill/machine_columns.py
@@ -49,7 +49,7 @@
         fetching = self.fetching.get(image)
         if fetching:
             sharing[list(fetching)] -= 1
-        seconds = alone * sharing
+        seconds: Array = alone * sharing
         present = self.images.get(image)
         if present:
             seconds[present] = 0.0
--- a/spindleglade/backfill/placement.py
+++ b/spindleglade/backfill/placement.py
@@ -6,7 +6,7 @@
 from spindleglade.backfill.plan import Placement, UnplacedDemand
 from spindleglade.backfill.planning_state import PlanningState
 from spindleglade.backfill.reservation import Reservation, reserve_capacity
-from spindleglade.backfill.snapshot import JobView, RunningTask, is_best_effort, unclaimed_guarantee_cpus
+from spindleglade.backfill.snapshot import JobView, Key, RunningTask, is_best_effort, unclaimed_guarantee_cpus
 
 # Of an overdue job's tasks, one of so many goes before all other jobs.
 _TASKS_PER_OVERDUE_START = 8
@@ -19,7 +19,7 @@
         self._state = state
         self._reservation = reservation
         # Keys of jobs that fit no machine now.
-        self._unplaceable: set[tuple] = set()
+        self._unplaceable: set[Key] = set()
 
     def place_all(self) -> None:
         """Places overdue jobs, then all by priority, urgency and order of submission."""
--- a/spindleglade/backfill/preemption.py
+++ b/spindleglade/backfill/preemption.py
@@ -10,7 +10,7 @@
 from spindleglade.backfill.arrays import Array
 from spindleglade.backfill.plan import Preemption, UnplacedDemand
 from spindleglade.backfill.planning_state import PlanningState
-from spindleglade.backfill.snapshot import CAPACITY_TOLERANCE, JobView, RunningTask, is_best_effort
+from spindleglade.backfill.snapshot import CAPACITY_TOLERANCE, JobView, Key, RunningTask, is_best_effort
 
 # Tasks preempted in one planning pass; the rest waits for the next.
 _MAX_PREEMPTIONS = 24
@@ -57,7 +57,7 @@
             return
         reserved_counts = self._apply_earlier_preemptions()
         # Keys of jobs for which nothing more can be preempted.
-        refused: set[tuple] = set()
+        refused: set[Key] = set()
         for demand in self._eligible_demand():
             job = demand.job
             key = (job.team, job.rank, job.placement_key())
--- a/spindleglade/backfill/reservation.py
+++ b/spindleglade/backfill/reservation.py
@@ -7,7 +7,7 @@
 from spindleglade.backfill.planning_state import PlanningState
 from spindleglade.backfill.probability import DelayModel
 from spindleglade.backfill.readiness import readiness
-from spindleglade.backfill.snapshot import JobView
+from spindleglade.backfill.snapshot import JobView, Key
 
 # Machines that may have capacity reserved for overdue jobs: one of so many, and at least one.
 _MACHINES_PER_RESERVATION = 16
@@ -30,7 +30,7 @@
         # Units that tasks which went ahead have taken in this pass.
         self._units_taken = 0
         # Keys of tasks that may not take a unit.
-        self._refused: set[tuple] = set()
+        self._refused: set[Key] = set()
 
     def reserve(self, job: JobView, task_count: int) -> None:
         """Reserves for this job, unless another holds the reservation already."""
--- a/spindleglade/backfill/snapshot.py
+++ b/spindleglade/backfill/snapshot.py
@@ -1,6 +1,7 @@
 """The snapshot that a planning pass works on: waiting jobs, machines with their tasks, and teams."""
 
 import math
+from collections.abc import Hashable
 from dataclasses import dataclass, field
 from datetime import timedelta
 
@@ -17,6 +18,9 @@
 UNLIMITED_TASKS = 1e9
 
 
+# What jobs or tasks are grouped by.
+Key = tuple[Hashable, ...]
+
 # The columns of `task_rows`. A task that has not begun to run has no start.
 TEAM_COLUMN = 0
 ESTIMATE_COLUMN = 1
@@ -148,7 +152,7 @@
     # Dependents will miss a deadline unless it starts now.
     is_urgent: bool = False
 
-    def equivalence_key(self) -> tuple:
+    def equivalence_key(self) -> Key:
         """Once a task with this key may not go ahead of the reserved job, none with the same key may."""
         return (
             self.team,
@@ -166,7 +170,7 @@
             self.estimate,
         )
 
-    def placement_key(self) -> tuple:
+    def placement_key(self) -> Key:
         """Tasks with the same key fit the same machines."""
         return (self.cpus, self.gpus, self.memory, self.types, self.zone, self.spot)
 
@@ -189,7 +193,8 @@
         demand = np.array(self.demand)
         needed = demand > 0
         counts = np.floor((free[:, needed] + CAPACITY_TOLERANCE) / demand[needed])
-        return np.maximum(counts.min(axis=1), 0.0)
+        fitting: Array = np.maximum(counts.min(axis=1), 0.0)
+        return fitting
 
     @property
     def is_independent(self) -> bool:
--- a/spindleglade/controller/peer_requests.py
+++ b/spindleglade/controller/peer_requests.py
@@ -40,7 +40,8 @@
             )
         except PeerUnreachableError:
             return None
-        return response.responses
+        responses: list[bytes] | None = response.responses
+        return responses
 
     async def forward_request(self, method: str, path: str, body: bytes) -> HttpResponse | None:
         """The response of a serving peer to a user's request; None if no such peer is reached. The peer last
--- a/spindleglade/fleet/capacity.py
+++ b/spindleglade/fleet/capacity.py
@@ -1,7 +1,7 @@
 """Free capacity that waiting tasks are packed onto before any machine is provisioned. Pure logic."""
 
 from collections.abc import Sequence
-from typing import NamedTuple
+from typing import NamedTuple, cast
 
 import numpy as np
 from numpy.typing import ArrayLike
@@ -46,7 +46,8 @@
         for pool in dict.fromkeys(pools):
             if pool not in self._pool_indices:
                 self._pool_indices[MachinePool(*pool)] = len(self._pool_indices)
-        indices = [self._pool_indices[pool] for pool in pools]
+        # A plain tuple finds the index of the machine pool that equals it.
+        indices = [self._pool_indices[cast(MachinePool, pool)] for pool in pools]
         self._pools_of_machines = np.append(self._pools_of_machines, np.array(indices, np.int64))
         self._free = np.vstack((self._free, np.reshape(free, (-1, RESOURCE_COUNT))))
 
--- a/spindleglade/fleet/provisioning.py
+++ b/spindleglade/fleet/provisioning.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from spindleglade.backfill.plan import UnplacedDemand
-from spindleglade.backfill.snapshot import JobView
+from spindleglade.backfill.snapshot import JobView, Key
 from spindleglade.fleet.capacity import CapacityPool, is_eligible
 from spindleglade.fleet.machine_pool import MachineOffer, MachinePool
 from spindleglade.settings.platform import Team
@@ -129,7 +129,7 @@
 
 def _group_demand(unplaced: list[UnplacedDemand], on_demand: OnDemandUse) -> list[_DemandGroup]:
     """The demand in groups, in the order in which each was first met."""
-    groups: dict[tuple, _DemandGroup] = {}
+    groups: dict[Key, _DemandGroup] = {}
     for demand in unplaced:
         may_use_on_demand = on_demand.allows(demand)
         key = _group_key(demand.job, may_use_on_demand)
@@ -141,7 +141,7 @@
     return list(groups.values())
 
 
-def _group_key(job: JobView, may_use_on_demand: bool) -> tuple:
+def _group_key(job: JobView, may_use_on_demand: bool) -> Key:
     """Demand with the same key fits the same machines and counts against the same limit. It is provisioned
     for as one, since looking at hundreds of machines for each of hundreds of jobs costs the leader much."""
     key = (job.team, *job.placement_key(), may_use_on_demand)
--- a/spindleglade/leadership/monitor.py
+++ b/spindleglade/leadership/monitor.py
@@ -35,8 +35,9 @@
 class MonitoredLeader(Protocol):
     """What the monitor needs to know of the leader's work."""
 
-    # Whether it has read the records and begun its work.
-    is_active: bool
+    @property
+    def is_active(self) -> bool:
+        """Whether it has read the records and begun its work."""
 
     @property
     def stall_reason(self) -> str | None:
--- a/spindleglade/leadership/peer_network.py
+++ b/spindleglade/leadership/peer_network.py
@@ -32,6 +32,9 @@
     def connection_to(self, controller: str) -> Any:
         """The connection to that controller if it is up."""
 
+    def server_factory(self) -> Any:
+        """Makes the protocols for the connections that peers open to this controller."""
+
 
 class PeerNetwork:
     """The connections to all peers, and the server that the peers connect to."""
--- a/spindleglade/workers/cluster_data.py
+++ b/spindleglade/workers/cluster_data.py
@@ -66,7 +66,8 @@
         self._name = name
 
     def __get__(self, owner: Any, owner_type: type | None = None) -> Value:
-        return getattr(owner._data, self._name)
+        value: Value = getattr(owner._data, self._name)
+        return value
 
     def __set__(self, owner: Any, value: Value) -> None:
         setattr(owner._data, self._name, value)
--- a/spindleglade/workers/heartbeat_relay.py
+++ b/spindleglade/workers/heartbeat_relay.py
@@ -4,7 +4,7 @@
 and one to send; gathered for a moment they cost it little more than their decoding.
 """
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from datetime import timedelta
 from typing import NamedTuple
 
@@ -18,7 +18,7 @@
 
 # Takes heartbeats to the leader and returns its responses, in order; None if it could not be reached. The
 # response to a heartbeat that the leader does not renew the lease for is empty.
-SendToLeader = Callable[[list[bytes]], Awaitable[list[bytes | None] | None]]
+SendToLeader = Callable[[list[bytes]], Awaitable[Sequence[bytes | None] | None]]
 
 
 class PendingHeartbeat(NamedTuple):
--- a/spindleglade/workers/leaderless_renewal.py
+++ b/spindleglade/workers/leaderless_renewal.py
@@ -10,7 +10,7 @@
 from enum import Enum, auto
 
 from spindleglade.runtime.clock import Clock
-from spindleglade.submissions.records import JobState
+from spindleglade.submissions.messages import JobStatus
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
 from spindleglade.workers.isolation_detector import IsolationDetector
@@ -73,6 +73,6 @@
             except ValueError:
                 continue
             view = self._views.jobs.get(job)
-            if view is not None and view.state == JobState.CANCELLED:
+            if view is not None and view.state == JobStatus.CANCELLED:
                 return True
         return False
--- a/spindleglade/workers/reasons.py
+++ b/spindleglade/workers/reasons.py
@@ -43,5 +43,5 @@
         )
 
 
-def _listed(counts: Counter) -> str:
+def _listed(counts: Counter[PendingReason] | Counter[MachineUnusableReason]) -> str:
     return ", ".join(f"{reason}: {count}" for reason, count in sorted(counts.items()))
--- a/spindleglade/workers/state_writer.py
+++ b/spindleglade/workers/state_writer.py
@@ -205,14 +205,21 @@
             except (NotAppliedError, OutcomeUnknownError) as error:
                 log.info("mod_revision not read key=%s reason=%s", key, error)
 
+    async def _skip_job_record(self, key: str, reason: str) -> None:
+        """Leaves a record as it is that cannot be read, and pauses before the batch is tried again."""
+        log.error("job record malformed key=%s reason=%s", key, reason)
+        await sleep(self._clock, MALFORMED_RECORD_DELAY)
+
     async def _observe_job(self, key: str, entry: Entry | None) -> None:
         """Applies a job's record as read from the store. The replica shows it too, but its watch may be
         delayed by seconds, and until then every batch with a start of the job would fail its condition."""
+        if entry is None:
+            await self._skip_job_record(key, "the key does not exist")
+            return
         try:
-            record = msgspec.json.decode(entry.value if entry is not None else b"null", type=JobRecord)
+            record = msgspec.json.decode(entry.value, type=JobRecord)
         except msgspec.DecodeError as error:
-            log.error("job record malformed key=%s reason=%s", key, error)
-            await sleep(self._clock, MALFORMED_RECORD_DELAY)
+            await self._skip_job_record(key, str(error))
             return
         self._cluster.observe_job(record, entry.mod_revision)
         self._events.on_record_observed(key, bytes(entry.value), entry.mod_revision)
--- a/spindleglade/workers/write_transaction.py
+++ b/spindleglade/workers/write_transaction.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from spindleglade.leadership.election import LEADER
+from spindleglade.leadership.term import LEADER
 from spindleglade.store.messages import Condition, Delete, Put, encode_value
 from spindleglade.submissions.records import job_key
 from spindleglade.workers.write_batch import TaskRangeWrite, WriteBatch
@@ -31,8 +31,8 @@
 def set_finished_time(batch: WriteBatch, finished: datetime) -> None:
     """Puts the time at which they finished into the records of the jobs that are done."""
     batch.done = [
-        (job, mod_revision, msgspec.structs.replace(record, finished_at=finished))
-        for job, mod_revision, record in batch.done
+        write._replace(record=msgspec.structs.replace(write.record, finished_at=finished))
+        for write in batch.done
     ]
 
 
