--- a/spindleglade/workers/test_task_range_splitting.py
+++ b/spindleglade/workers/test_task_range_splitting.py
@@ -160,14 +160,14 @@
     )
     recorded = [all(at.is_recorded for at in cluster.jobs[f"job-{n}"].placed.values()) for n in range(5)]
     assert recorded == [True, True, False, True, True]
-    writes = [msgspec.json.encode(msgspec.json.decode(body)["writes"]) for body in service.too_large]
+    writes = [msgspec.json.encode(msgspec.json.decode(body)["writes"]) for body in service.rejected_for_size]
     # In two batches, of which the first could have been made smaller, and by itself.
     assert len(set(writes)) == len(writes) == 3
     # It is tried again once it has changed.
     cluster.on_machine_terminated("n-3" + "x" * 600, "test")
     writer.wake()
     service.clock.advance(seconds(2))
-    assert range_key("job-2", 0) in service.keys and len(service.too_large) == 3
+    assert range_key("job-2", 0) in service.keys and len(service.rejected_for_size) == 3
 
 
 def test_a_transaction_refused_for_its_number_of_changes_is_split():
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -16,8 +16,8 @@
     type: str
     zone: str
     spot: bool
-    since: timedelta
-    stage: str = "starting"
+    provisioned_at: timedelta
+    state: str = "starting"
 
     @property
     def address(self) -> str:
@@ -25,7 +25,7 @@
 
 
 class Cloud:
-    """Rents machines; `up` is told when one has booted, `down` when one is gone."""
+    """Provisions machines; calls `on_booted` and `on_terminated` for those that come up and go."""
 
     def __init__(
         self,
@@ -33,31 +33,31 @@
         rng: random.Random,
         types: list[dict],
         capacity: int,
-        up: Callable[[Machine], None],
-        down: Callable[[str], None],
+        on_booted: Callable[[Machine], None],
+        on_terminated: Callable[[str], None],
     ) -> None:
         self.clock = clock
         self.rng = rng
         self.types = types
         self.capacity = capacity
-        self.up = up
-        self.down = down
+        self.on_booted = on_booted
+        self.on_terminated = on_terminated
         self.machines: dict[str, Machine] = {}
-        self.answers: dict[str, list[str]] = {}
-        self.made = 0
+        self.provision_answers: dict[str, list[str]] = {}
+        self.provisioned_count = 0
         # Requests refused for lack of capacity.
-        self.refused = 0
-        self.trouble = False
+        self.refused_count = 0
+        self.unavailable = False
         # No spot machine is to be had.
-        self.no_spot = False
+        self.spot_exhausted = False
         # Machines on one page of the list.
-        self.page = 5
+        self.page_size = 5
         # How long a machine takes to boot, at the least and at the most, and how many never come up.
-        self.boot_s = (0.5, 4.0)
-        self.never_up = 0.1
+        self.boot_time_s = (0.5, 4.0)
+        self.boot_failure_probability = 0.1
 
     def handle(self, method: str, path: str, body: bytes) -> Reply:
-        if self.trouble:
+        if self.unavailable:
             return reply(503, {"error": "trouble"})
         parts = urlsplit(path)
         if parts.path == "/machine_types":
@@ -65,56 +65,60 @@
         if parts.path == "/hosts/release":
             for name in decode(body)["spindles"]:
                 if self.machines.pop(name, None) is not None:
-                    self.down(name)
+                    self.on_terminated(name)
             return reply(200)
         if method == "POST":
-            return self._rent(decode(body))
+            return self._provision(decode(body))
         query = {key: values[0] for key, values in parse_qs(parts.query).items()}
         names = [name for name in self.machines if name > query.get("since", "")]
-        page = names[: min(int(query["page"]), self.page)]
+        page = names[: min(int(query["page"]), self.page_size)]
         return reply(
             200,
             {"spindles": [self._show(self.machines[n]) for n in page], "has_next": len(page) < len(names)},
         )
 
     def _show(self, machine: Machine) -> dict:
-        held = (self.clock.now() - machine.since).total_seconds()
+        held = (self.clock.now() - machine.provisioned_at).total_seconds()
         return {
             "ref": machine.name,
             "addr": machine.address,
             "frame": machine.type,
             "glade": machine.zone,
             "windfall": machine.spot,
-            "stage": machine.stage,
+            "stage": machine.state,
             "held_s": held,
         }
 
-    def _rent(self, ask: dict) -> Reply:
-        if ask["ask"] in self.answers:
-            return reply(200, {"spindles": self.answers[ask["ask"]]})
+    def _provision(self, ask: dict) -> Reply:
+        if ask["ask"] in self.provision_answers:
+            return reply(200, {"spindles": self.provision_answers[ask["ask"]]})
         room = self.capacity - len(self.machines)
-        if room <= 0 or (ask["windfall"] and self.no_spot):
-            self.refused += 1
+        if room <= 0 or (ask["windfall"] and self.spot_exhausted):
+            self.refused_count += 1
             return reply(503, {"error": "no capacity"})
         names = []
         for _ in range(min(room, ask["how_many"])):
             machine = Machine(
-                f"n-{self.made:06d}", ask["frame"], ask["glade"], ask["windfall"], self.clock.now()
+                f"n-{self.provisioned_count:06d}",
+                ask["frame"],
+                ask["glade"],
+                ask["windfall"],
+                self.clock.now(),
             )
-            self.made += 1
+            self.provisioned_count += 1
             self.machines[machine.name] = machine
             names.append(machine.name)
-            if self.rng.random() > self.never_up:
-                self.clock.later(seconds(self.rng.uniform(*self.boot_s)), self._booted, machine)
-        self.answers[ask["ask"]] = names
+            if self.rng.random() > self.boot_failure_probability:
+                self.clock.later(seconds(self.rng.uniform(*self.boot_time_s)), self._finish_boot, machine)
+        self.provision_answers[ask["ask"]] = names
         return reply(200, {"spindles": names})
 
     @property
-    def has_room(self) -> bool:
-        """Whether an ordinary machine could be rented; all work may use those."""
+    def has_capacity(self) -> bool:
+        """Whether an on-demand machine could be provisioned; all work may use those."""
         return len(self.machines) < self.capacity
 
-    def _booted(self, machine: Machine) -> None:
+    def _finish_boot(self, machine: Machine) -> None:
         if machine.name in self.machines:
-            machine.stage = "running"
-            self.up(machine)
+            machine.state = "running"
+            self.on_booted(machine)
--- a/tests/fakes/state_service.py
+++ b/tests/fakes/state_service.py
@@ -7,7 +7,7 @@
 import math
 from bisect import bisect_right
 from datetime import timedelta
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 from twisted.internet.defer import Deferred
@@ -16,18 +16,18 @@
 from tests.fakes.encoding import Reply, decode, encode, reply
 
 
-class Rate:
-    """So many a second, and bursts of one second's worth."""
+class TokenBucket:
+    """Permits so many a second, and bursts of one second's worth."""
 
     def __init__(self, clock: Clock, rate: float) -> None:
         self._clock, self._rate = clock, rate
         self._left, self._at = rate, clock.now()
 
-    def lower(self, rate: float) -> None:
-        self.allows(0)
+    def lower_rate(self, rate: float) -> None:
+        self.try_take(0)
         self._rate, self._left = min(self._rate, rate), min(self._left, rate)
 
-    def allows(self, count: int = 1) -> bool:
+    def try_take(self, count: int = 1) -> bool:
         now = self._clock.now()
         self._left = min(self._rate, self._left + self._rate * (now - self._at).total_seconds())
         self._at = now
@@ -37,6 +37,14 @@
         return True
 
 
+class StoredValue(NamedTuple):
+    """What stands under one key."""
+
+    value: Any
+    mod_revision: int
+    lease: int | None
+
+
 class StateService:
     def __init__(
         self,
@@ -47,24 +55,24 @@
         write_rps: float = math.inf,
     ) -> None:
         self.clock = clock
-        self.requests, self.writes = Rate(clock, rps), Rate(clock, write_rps)
+        self.request_bucket, self.write_bucket = TokenBucket(clock, rps), TokenBucket(clock, write_rps)
         # Puts and deletes carried out, and requests refused as too many.
         self.changes = 0
-        self.too_many = 0
+        self.rejected_for_rate = 0
         self.value_kb = value_kb
         self.txn_ops = txn_ops
         self.revision = 0
-        self.keys: dict[str, tuple[Any, int, int | None]] = {}
+        self.keys: dict[str, StoredValue] = {}
         self.log: list[dict] = []
-        self.kept = 10_000
+        self.max_log_entries = 10_000
         self.leases: dict[int, list] = {}
         self.next_lease = 1
-        self.down = False
+        self.is_down = False
         self._watches: list[tuple[str, int, Deferred]] = []
         # Before the limits are lowered nothing over them may be sent at all; after that it gets a 400.
         self.lowered = False
         # Transactions refused as too large.
-        self.too_large: list[bytes] = []
+        self.rejected_for_size: list[bytes] = []
 
     def lower_limits(
         self,
@@ -77,27 +85,27 @@
         self.lowered = True
         self.value_kb = min(self.value_kb, value_kb)
         self.txn_ops = self.txn_ops if txn_ops is None else min(self.txn_ops, txn_ops)
-        self.requests.lower(rps)
-        self.writes.lower(write_rps)
+        self.request_bucket.lower_rate(rps)
+        self.write_bucket.lower_rate(write_rps)
 
     def outage(self, length: timedelta) -> None:
-        self.down = True
-        self.clock.later(length, self._back)
+        self.is_down = True
+        self.clock.later(length, self._end_outage)
 
-    def _back(self) -> None:
-        self.down = False
+    def _end_outage(self) -> None:
+        self.is_down = False
         for lease in self.leases.values():
             lease[1] = self.clock.now() + lease[0]
         self._notify()
 
-    def expire(self) -> None:
-        if self.down:
+    def expire_leases(self) -> None:
+        if self.is_down:
             return
         now = self.clock.now()
         for number in [number for number, lease in self.leases.items() if lease[1] < now]:
-            self._end(number)
+            self._revoke_lease(number)
 
-    def _end(self, number: int) -> None:
+    def _revoke_lease(self, number: int) -> None:
         del self.leases[number]
         self._write([{"remove": key} for key, (_, _, lease) in self.keys.items() if lease == number])
 
@@ -108,11 +116,11 @@
         self.changes += len(writes)
         for write in writes:
             if "set" in write:
-                self.keys[write["set"]] = (write["v"], self.revision, write.get("hold"))
+                self.keys[write["set"]] = StoredValue(write["v"], self.revision, write.get("hold"))
                 self.log.append({"set": write["set"], "v": write["v"], "mark": self.revision})
             elif self.keys.pop(write["remove"], None) is not None:
                 self.log.append({"remove": write["remove"], "mark": self.revision})
-        del self.log[: -self.kept]
+        del self.log[: -self.max_log_entries]
         self._notify()
 
     def _changes(self, prefix: str, since: int) -> list[dict]:
@@ -124,7 +132,7 @@
         ]
 
     def _notify(self) -> None:
-        if self.down:
+        if self.is_down:
             return
         waiting, self._watches = self._watches, []
         for prefix, since, waiter in waiting:
@@ -137,11 +145,11 @@
                 self._watches.append((prefix, since, waiter))
 
     def handle(self, method: str, path: str, body: bytes) -> Reply | Deferred:
-        self.expire()
-        if self.down:
+        self.expire_leases()
+        if self.is_down:
             return reply(503)
-        if not self.requests.allows():
-            self.too_many += 1
+        if not self.request_bucket.try_take():
+            self.rejected_for_rate += 1
             return reply(429)
         parts = urlsplit(path)
         query = {key: values[0] for key, values in parse_qs(parts.query).items()}
@@ -149,13 +157,13 @@
             if len(body) > 64 * 1024:
                 return reply(400, {"error": "too large"})
             txn = decode(body)
-            if not self.writes.allows(len(txn["writes"])):
-                self.too_many += 1
+            if not self.write_bucket.try_take(len(txn["writes"])):
+                self.rejected_for_rate += 1
                 return reply(429)
             over = self._over_limits(txn)
             if over is not None:
                 assert self.lowered, over
-                self.too_large.append(body)
+                self.rejected_for_size.append(body)
                 return reply(400, {"error": over})
             return self._txn(txn)
         if parts.path == "/watch":
@@ -177,7 +185,7 @@
         if number not in self.leases:
             return reply(404)
         if method == "DELETE":
-            self._end(number)
+            self._revoke_lease(number)
         else:
             self.leases[number][1] = self.clock.now() + self.leases[number][0]
         return reply(200)
@@ -208,7 +216,7 @@
 
     def _watch(self, query: dict) -> Reply | Deferred:
         since, prefix = int(query["since"]), query["starts"]
-        if self.revision > self.kept and since < self.revision - self.kept:
+        if self.revision > self.max_log_entries and since < self.revision - self.max_log_entries:
             return reply(410)
         changes, wait = self._changes(prefix, since), int(query.get("wait_ms", 0))
         if changes or wait == 0:
@@ -219,5 +227,5 @@
         return waiter
 
     def _watch_over(self, waiter: Deferred) -> None:
-        if not waiter.called and not self.down:
+        if not waiter.called and not self.is_down:
             waiter.callback(reply(200, {"turn": self.revision, "log": []}))
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -2,7 +2,7 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from datetime import timedelta
 from typing import Any
 
@@ -17,210 +17,209 @@
 class Task:
     name: str
     attempt: int
-    stage: str = "pulling"
+    state: str = "pulling"
     cause: str | None = None
     timer: Any = None
     # What the timer is for, and when: a machine that hangs puts it off.
-    due: timedelta = timedelta(0)
-    call: tuple[Callable[..., None], tuple] | None = None
-    extra: dict = field(default_factory=dict)
+    timer_due_at: timedelta = timedelta(0)
+    timer_call: tuple[Callable[..., None], tuple] | None = None
 
-    def show(self) -> dict:
-        shown = {"thread": self.name, "try": self.attempt, "stage": self.stage}
+    def status(self) -> dict:
+        shown = {"thread": self.name, "try": self.attempt, "stage": self.state}
         if self.cause is not None:
             shown["cause"] = self.cause
         return shown
 
 
 class Worker:
-    """A machine's worker. `jobs` gives the descriptions users uploaded; `send` posts a report and calls back
-    with the answer or None; `on` and `off` are told when a task comes to be on the machine and leaves it."""
+    """A machine's worker. `jobs` gives the descriptions users uploaded; `send` posts a heartbeat and calls
+    back with the answer or None; `on_started` and `on_ended` are called as tasks begin and cease to run."""
 
     def __init__(
         self,
         clock: Clock,
         rng: random.Random,
         machine: Machine,
-        kind: dict,
-        report: timedelta,
+        machine_type: dict,
+        heartbeat_interval: timedelta,
         lease: timedelta,
         jobs: dict[str, dict],
-        nodes: list[str],
+        controllers: list[str],
         send: Callable[[str, bytes, Callable[[Reply | None], None]], None],
-        on: Callable[[str, str], None],
-        off: Callable[[str, str], None],
-        run_s: Callable[[str], float],
+        on_started: Callable[[str, str], None],
+        on_ended: Callable[[str, str], None],
+        run_time_s: Callable[[str], float],
         error: float = 0.0,
     ) -> None:
-        self.clock, self.rng, self.machine, self.kind = clock, rng, machine, kind
-        self.report_every, self.lease = report, lease
-        self.jobs, self.nodes, self._send = jobs, nodes, send
-        self.on, self.off, self.run_s, self.error = on, off, run_s, error
-        self.session, self.tally, self.token = 1, 0, 0
+        self.clock, self.rng, self.machine, self.machine_type = clock, rng, machine, machine_type
+        self.heartbeat_interval, self.lease = heartbeat_interval, lease
+        self.jobs, self.controllers, self._send = jobs, controllers, send
+        self.on_started, self.on_ended, self.run_time_s, self.error = on_started, on_ended, run_time_s, error
+        self.incarnation, self.sequence, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Task] = {}
-        self.done: set[str] = set()
-        self.answered = clock.now()
-        self.at = rng.randrange(len(nodes))
-        self.in_flight = False
-        self.changed = False
-        self.latest = clock.now()
-        self.gone = False
-        self.warning: timedelta | None = None
+        self.completed: set[str] = set()
+        self.last_answered_at = clock.now()
+        self.controller_index = rng.randrange(len(controllers))
+        self.is_heartbeat_in_flight = False
+        self.has_changes = False
+        self.last_sent_at = clock.now()
+        self.terminated = False
+        self.terminates_at: timedelta | None = None
         # While it hangs: until when, and what came meanwhile and waits.
-        self.hung: timedelta | None = None
-        self._held: list[Callable[[], None]] = []
-        self.due = report
-        self._schedule()
+        self.hung_until: timedelta | None = None
+        self._deferred: list[Callable[[], None]] = []
+        self.next_heartbeat_after = heartbeat_interval
+        self._heartbeat_if_due()
         self._check_lease()
 
-    def end(self) -> None:
-        self.gone = True
-        self._drop_all()
+    def terminate(self) -> None:
+        self.terminated = True
+        self._kill_all_tasks()
 
-    def _drop_all(self) -> None:
+    def _kill_all_tasks(self) -> None:
         for task in list(self.tasks.values()):
             self._exit(task, "killed")
         self.tasks.clear()
 
     def hang(self, length: timedelta) -> None:
         """It answers nothing and executes nothing, and then goes on. Its lease passes meanwhile."""
-        if self.gone or self.hung is not None:
+        if self.terminated or self.hung_until is not None:
             return
-        self.hung = self.clock.now() + length
+        self.hung_until = self.clock.now() + length
         for task in self.tasks.values():
             if task.timer is not None and task.timer.active():
                 task.timer.cancel()
-                assert task.call is not None
-                call, args = task.call
-                self._after(task, task.due + length - self.clock.now(), call, *args)
-        self.clock.later(length, self._go_on)
+                assert task.timer_call is not None
+                call, args = task.timer_call
+                self._after(task, task.timer_due_at + length - self.clock.now(), call, *args)
+        self.clock.later(length, self._resume)
 
-    def _go_on(self) -> None:
-        self.hung = None
-        if self.gone:
+    def _resume(self) -> None:
+        self.hung_until = None
+        if self.terminated:
             return
         # What it knows by itself comes first; then what was sent to it, in order.
-        self._end_lease()
-        held, self._held = self._held, []
+        self._expire_lease()
+        held, self._deferred = self._deferred, []
         for act in held:
             act()
 
     def _after(self, task: Task, delay: timedelta, call: Callable[..., None], *args: Any) -> None:
-        task.due, task.call = self.clock.now() + delay, (call, args)
+        task.timer_due_at, task.timer_call = self.clock.now() + delay, (call, args)
         task.timer = self.clock.later(delay, call, *args)
 
-    def _end_lease(self) -> None:
-        if self.clock.now() - self.answered > self.lease:
-            self._drop_all()
-            self.session += 1
-            self.tally = 0
-            self.answered = self.clock.now()
-            self.changed = True
+    def _expire_lease(self) -> None:
+        if self.clock.now() - self.last_answered_at > self.lease:
+            self._kill_all_tasks()
+            self.incarnation += 1
+            self.sequence = 0
+            self.last_answered_at = self.clock.now()
+            self.has_changes = True
 
     def _check_lease(self) -> None:
-        if self.gone:
+        if self.terminated:
             return
-        if self.hung is None:
-            self._end_lease()
-            left = self.answered + self.lease - self.clock.now()
+        if self.hung_until is None:
+            self._expire_lease()
+            left = self.last_answered_at + self.lease - self.clock.now()
         else:
-            left = self.hung - self.clock.now()
+            left = self.hung_until - self.clock.now()
         self.clock.later(max(seconds(0.05), left + seconds(0.01)), self._check_lease)
 
-    def show(self) -> dict:
-        self.tally += 1
+    def heartbeat(self) -> dict:
+        self.sequence += 1
         return {
             "spindle": self.machine.name,
             "addr": self.machine.address,
             "frame": self.machine.type,
             "glade": self.machine.zone,
             "windfall": self.machine.spot,
-            "spin": self.session,
-            "tally": self.tally,
+            "spin": self.incarnation,
+            "tally": self.sequence,
             "baton": self.token,
             "warning_s": None
-            if self.warning is None
-            else max(0.0, (self.warning - self.clock.now()).total_seconds()),
-            "threads": [task.show() for task in self.tasks.values()],
+            if self.terminates_at is None
+            else max(0.0, (self.terminates_at - self.clock.now()).total_seconds()),
+            "threads": [task.status() for task in self.tasks.values()],
         }
 
-    def _schedule(self) -> None:
-        if self.gone:
+    def _heartbeat_if_due(self) -> None:
+        if self.terminated:
             return
-        since = self.clock.now() - self.latest
+        since = self.clock.now() - self.last_sent_at
         if (
-            self.hung is None
-            and not self.in_flight
-            and (since >= self.due or (self.changed and since >= seconds(0.5)))
+            self.hung_until is None
+            and not self.is_heartbeat_in_flight
+            and (since >= self.next_heartbeat_after or (self.has_changes and since >= seconds(0.5)))
         ):
-            self.due = self.report_every * self.rng.uniform(0.75, 1.25)
-            self._report()
+            self.next_heartbeat_after = self.heartbeat_interval * self.rng.uniform(0.75, 1.25)
+            self._send_heartbeat()
         # A change has to wait for half a second at the most, so nothing needs a closer look.
-        self.clock.later(min(seconds(0.25), self.report_every / 10), self._schedule)
+        self.clock.later(min(seconds(0.25), self.heartbeat_interval / 10), self._heartbeat_if_due)
 
-    def _report(self) -> None:
-        self.in_flight, self.changed = True, False
-        self.latest = sent = self.clock.now()
-        session = self.session
+    def _send_heartbeat(self) -> None:
+        self.is_heartbeat_in_flight, self.has_changes = True, False
+        self.last_sent_at = sent = self.clock.now()
+        incarnation = self.incarnation
 
-        def answered(answer: Reply | None) -> None:
-            if self.gone:
+        def on_answer(answer: Reply | None) -> None:
+            if self.terminated:
                 return
-            if self.hung is not None:
-                self._held.append(lambda: answered(answer))
+            if self.hung_until is not None:
+                self._deferred.append(lambda: on_answer(answer))
                 return
             if self.clock.now() - sent > seconds(4):
                 answer = None
-            self.in_flight = False
+            self.is_heartbeat_in_flight = False
             if answer is None or answer[0] != 200:
-                self.at = (self.at + 1) % len(self.nodes)
-                self.latest = self.clock.now() - self.report_every + seconds(1)
+                self.controller_index = (self.controller_index + 1) % len(self.controllers)
+                self.last_sent_at = self.clock.now() - self.heartbeat_interval + seconds(1)
                 return
             body = decode(answer[1])
-            if self.session != session or body.get("baton", -1) < self.token:
+            if self.incarnation != incarnation or body.get("baton", -1) < self.token:
                 return
-            self.changed = self.changed or body["baton"] > self.token
+            self.has_changes = self.has_changes or body["baton"] > self.token
             self.token = body["baton"]
-            self.answered = max(self.answered, sent)
-            self._obey(body["orders"])
+            self.last_answered_at = max(self.last_answered_at, sent)
+            self._execute(body["orders"])
 
-        self._send(self.nodes[self.at], encode(self.show()), answered)
+        self._send(self.controllers[self.controller_index], encode(self.heartbeat()), on_answer)
 
     def handle(self, method: str, path: str, body: bytes) -> Reply | Deferred:
-        if self.hung is not None:
+        if self.hung_until is not None:
             waiter: Deferred[Reply] = Deferred()
-            self._held.append(lambda: waiter.callback(self._answer(path, body)))
+            self._deferred.append(lambda: waiter.callback(self._answer(path, body)))
             return waiter
         return self._answer(path, body)
 
     def _answer(self, path: str, body: bytes) -> Reply:
         if path == "/show":
-            return reply(200, self.show())
+            return reply(200, self.heartbeat())
         message = decode(body)
-        if message["baton"] < self.token or message["spin"] != self.session:
-            return reply(409, self.show())
-        self.changed = self.changed or message["baton"] > self.token
+        if message["baton"] < self.token or message["spin"] != self.incarnation:
+            return reply(409, self.heartbeat())
+        self.has_changes = self.has_changes or message["baton"] > self.token
         self.token = message["baton"]
-        self._obey(message["orders"])
-        return reply(200, self.show())
+        self._execute(message["orders"])
+        return reply(200, self.heartbeat())
 
-    def _obey(self, orders: list[dict]) -> None:
-        for order in orders:
-            key = (order["thread"], order["try"])
+    def _execute(self, commands: list[dict]) -> None:
+        for command in commands:
+            key = (command["thread"], command["try"])
             task = self.tasks.get(key)
-            if order["verb"] == "start":
+            if command["verb"] == "start":
                 if task is None:
-                    self._start(order["thread"], order["try"])
-            elif order["verb"] == "stop":
-                if task is not None and task.stage != "exited":
+                    self._start(command["thread"], command["try"])
+            elif command["verb"] == "stop":
+                if task is not None and task.state != "exited":
                     self._exit(task, "halted")
-            elif task is not None and task.stage == "exited":
+            elif task is not None and task.state == "exited":
                 del self.tasks[key]
 
     def _free(self) -> tuple[float, float]:
-        cpus, memory = self.kind["vcpus"], self.kind["mem_gb"]
+        cpus, memory = self.machine_type["vcpus"], self.machine_type["mem_gb"]
         for task in self.tasks.values():
-            if task.stage != "exited":
+            if task.state != "exited":
                 job = self.jobs[task.name.rpartition("/")[0]]
                 cpus, memory = cpus - job["vcpus"], memory - job["mem_gb"]
         return cpus, memory
@@ -228,44 +227,44 @@
     def _start(self, name: str, attempt: int) -> None:
         task = self.tasks[(name, attempt)] = Task(name, attempt)
         job = self.jobs.get(name.rpartition("/")[0])
-        self.changed = True
+        self.has_changes = True
         if job is None:
-            task.stage, task.cause = "exited", "unknown"
+            task.state, task.cause = "exited", "unknown"
             return
         if any(other.name == name and other is not task for other in self.tasks.values()):
-            task.stage, task.cause = "exited", "in_use"
+            task.state, task.cause = "exited", "in_use"
             return
         if min(self._free()) < -1e-9:
-            task.stage, task.cause = "exited", "full"
+            task.state, task.cause = "exited", "full"
             return
         self._after(task, seconds(self.rng.uniform(0.0, 1.0)), self._run, task)
 
     def _run(self, task: Task) -> None:
-        task.stage = "running"
-        self.changed = True
-        self.on(self.machine.name, task.name)
+        task.state = "running"
+        self.has_changes = True
+        self.on_started(self.machine.name, task.name)
         if self.rng.random() < self.error:
             self._after(task, seconds(0.3), self._exit, task, "error")
             return
-        length = 0.0 if task.name in self.done else self.run_s(task.name)
+        length = 0.0 if task.name in self.completed else self.run_time_s(task.name)
         self._after(task, seconds(length), self._exit, task, "done")
 
     def resume(self, task: Task, left: timedelta) -> None:
         """A task of a recorded day goes on with what it was at."""
-        if task.stage == "pulling":
+        if task.state == "pulling":
             self._after(task, left, self._run, task)
-        elif task.stage == "running":
+        elif task.state == "running":
             self._after(task, left, self._exit, task, "done")
 
     def _exit(self, task: Task, cause: str) -> None:
-        if task.stage == "exited":
+        if task.state == "exited":
             return
         if task.timer is not None and task.timer.active():
             task.timer.cancel()
-        was_on = task.stage == "running"
-        task.stage, task.cause = "exited", cause
+        was_on = task.state == "running"
+        task.state, task.cause = "exited", cause
         if cause == "done":
-            self.done.add(task.name)
+            self.completed.add(task.name)
         if was_on:
-            self.off(self.machine.name, task.name)
-        self.changed = True
+            self.on_ended(self.machine.name, task.name)
+        self.has_changes = True
--- a/tests/generated_faults.py
+++ b/tests/generated_faults.py
@@ -53,7 +53,8 @@
     @property
     def machines(self) -> list[str]:
         """The addresses of all machines that are there."""
-        return [worker.machine.address for worker in self.deployment.workers.values() if not worker.gone]
+        workers = self.deployment.workers.values()
+        return [worker.machine.address for worker in workers if not worker.terminated]
 
     @property
     def zone(self) -> str:
@@ -119,12 +120,12 @@
 
 def _cloud_unavailable(strike: Strike) -> None:
     strike.deployment.fault_window.extend(strike.span)
-    strike.deployment.cloud.trouble = True
-    strike.deployment.clock.later(strike.span, setattr, strike.deployment.cloud, "trouble", False)
+    strike.deployment.cloud.unavailable = True
+    strike.deployment.clock.later(strike.span, setattr, strike.deployment.cloud, "unavailable", False)
 
 
 def _fast_boots(strike: Strike) -> None:
-    strike.deployment.cloud.boot_s = FAST_BOOT_S
+    strike.deployment.cloud.boot_time_s = FAST_BOOT_S
 
 
 KINDS: dict[str, Begin] = {
--- a/tests/invariants/liveness_invariants.py
+++ b/tests/invariants/liveness_invariants.py
@@ -55,8 +55,8 @@
         deployment = self._deployment
         return (
             deployment.clock.now() < deployment.fault_window.ends_at
-            or deployment.state.down
-            or deployment.cloud.trouble
+            or deployment.state.is_down
+            or deployment.cloud.unavailable
             or bool(
                 deployment.network.cuts or deployment.network.refused_by_store or deployment.network.silent
             )
@@ -86,7 +86,7 @@
         if deployment.executions.is_complete(job_id) or not deployment.dependencies.released(job_id):
             return False
         job = deployment.jobs.descriptions[job_id]
-        return deployment.service.has_room(job) or deployment.cloud.has_room
+        return deployment.service.has_room(job) or deployment.cloud.has_capacity
 
     def _broken(self, what: str) -> None:
         self._deployment.violations.append(f"{what} at {self._deployment.clock.now()}")
--- a/tests/invariants/placement_invariants.py
+++ b/tests/invariants/placement_invariants.py
@@ -46,17 +46,17 @@
 
     def check_after_hang(self, worker: Worker) -> None:
         """What a machine that hung goes on with may not have been cancelled long ago."""
-        if worker.gone:
+        if worker.terminated:
             return
         for task in worker.tasks.values():
-            if task.stage == "running" and self._is_overdue(job_of(task.name)):
+            if task.state == "running" and self._is_overdue(job_of(task.name)):
                 self._violations.append(f"ran_cancelled {task.name} goes on after a hang")
 
     def check_cancelled(self, job_id: str, machines_of: Callable[[str], list[str]]) -> None:
         """At any moment, for each cancelled job. What hangs is looked at when it goes on."""
         if not self._is_overdue(job_id):
             return
-        on = [name for name in machines_of(job_id) if self._workers[name].hung is None]
+        on = [name for name in machines_of(job_id) if self._workers[name].hung_until is None]
         if on:
             self._violations.append(f"ran_cancelled {job_id} still on {on}")
 
--- a/tests/invariants/service_invariants.py
+++ b/tests/invariants/service_invariants.py
@@ -82,12 +82,12 @@
         free: list[tuple[Machine, float, float]] = []
         held: Counter[str] = Counter()
         for worker in self._deployment.workers.values():
-            if worker.gone:
+            if worker.terminated:
                 continue
             for name, _ in worker.tasks:
                 job = self._deployment.jobs.descriptions[name.rpartition("/")[0]]
                 held[job["crew"]] += job["vcpus"]
-            if worker.hung is None and worker.warning is None:
+            if worker.hung_until is None and worker.terminates_at is None:
                 free.append((worker.machine, *worker._free()))
         return free, held
 
--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -109,14 +109,14 @@
     planner_log.addHandler(rounds)
     began = time.monotonic()
     deployment = SimulatedDeployment(options.seed, config=large_deployment_config(options.machines))
-    deployment.cloud.page = 500
+    deployment.cloud.page_size = 500
     jobs = submit_all(deployment, options.machines)
     deployment.clock.later(RESTART_AT, restart_all, deployment)
     deployment.clock.later(CUT_AT, deployment.network.cut_zone, "b", True, CUT_FOR)
     most_machines = 0
     while deployment.clock.now() < DAY:
         deployment.run(seconds(10), STEP)
-        machines = sum(not worker.gone for worker in deployment.workers.values())
+        machines = sum(not worker.terminated for worker in deployment.workers.values())
         most_machines = max(most_machines, machines)
         at_s = deployment.clock.now().total_seconds()
         done = sum(stage == "done" for stage in deployment.jobs.observed_states.values())
@@ -132,7 +132,7 @@
         for job in jobs
         if job in deployment.executions.began_at
     ]
-    print(f"machines: {most_machines} at most, {deployment.cloud.made} rented in all")
+    print(f"machines: {most_machines} at most, {deployment.cloud.provisioned_count} rented in all")
     print(f"jobs: {len(jobs)}, accepted {len(deployment.jobs.accepted)}, begun {len(waits)}")
     print(
         f"first start after s: p50 {share(waits, 0.5):.1f}, p90 {share(waits, 0.9):.1f}, max {max(waits):.1f}"
@@ -143,7 +143,7 @@
     )
     print(
         f"state service: {deployment.state.changes} changes, "
-        f"{deployment.state.too_many} requests refused as too many"
+        f"{deployment.state.rejected_for_rate} requests refused as too many"
     )
     print(
         f"connections of one controller: {deployment.connections.most_open} at most, "
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -123,8 +123,8 @@
             lambda task: 0.5,
         )
         address = self.listen(worker.handle)
-        shown = worker.show
-        worker.show = lambda: shown() | {"addr": address}
+        shown = worker.heartbeat
+        worker.heartbeat = lambda: shown() | {"addr": address}
         self.workers[machine.name] = worker
 
     def kill(self, at):
@@ -191,7 +191,7 @@
             process.kill()
             process.wait()
         for worker in self.workers.values():
-            worker.end()
+            worker.terminate()
         for port in self.ports:
             port.stopListening()
 
--- a/tests/record_production.py
+++ b/tests/record_production.py
@@ -153,7 +153,9 @@
 
 
 def recorded_surroundings(deployment: SimulatedDeployment) -> day.RecordedSurroundings:
-    machines = [_machine(deployment, worker) for worker in deployment.workers.values() if not worker.gone]
+    machines = [
+        _machine(deployment, worker) for worker in deployment.workers.values() if not worker.terminated
+    ]
     users = day.RecordedUsers(
         {job: deployment.jobs.descriptions[job] for job in sorted(deployment.jobs.accepted)},
         {job: deployment.jobs.submitted_at[job].total_seconds() for job in sorted(deployment.jobs.accepted)},
@@ -164,7 +166,9 @@
         dict(deployment.executions.start_counts),
     )
     now = deployment.clock.now().total_seconds()
-    return day.RecordedSurroundings(now, machines, deployment.cloud.made, deployment.cloud.answers, users)
+    return day.RecordedSurroundings(
+        now, machines, deployment.cloud.provisioned_count, deployment.cloud.provision_answers, users
+    )
 
 
 def _machine(deployment: SimulatedDeployment, worker: Worker) -> day.RecordedMachine:
@@ -173,9 +177,9 @@
         day.RecordedTask(
             task.name,
             task.attempt,
-            task.stage,
+            task.state,
             task.cause,
-            None if task.stage == "exited" else (task.due - deployment.clock.now()).total_seconds(),
+            None if task.state == "exited" else (task.timer_due_at - deployment.clock.now()).total_seconds(),
         )
         for task in worker.tasks.values()
     ]
@@ -184,11 +188,11 @@
         machine.type,
         machine.zone,
         machine.spot,
-        machine.since.total_seconds(),
-        worker.session,
-        worker.tally,
+        machine.provisioned_at.total_seconds(),
+        worker.incarnation,
+        worker.sequence,
         worker.token,
-        sorted(worker.done),
+        sorted(worker.completed),
         tasks,
     )
 
--- a/tests/recorded_day.py
+++ b/tests/recorded_day.py
@@ -74,8 +74,8 @@
     zone: str
     spot: bool
     since_s: float
-    session: int
-    tally: int
+    incarnation: int = msgspec.field(name="session")
+    sequence: int = msgspec.field(name="tally")
     token: int
     done: list[str]
     tasks: list[RecordedTask]
@@ -83,12 +83,12 @@
 
 class RecordedUsers(msgspec.Struct):
     jobs: dict[str, dict[str, Any]]
-    sent_s: dict[str, float]
-    told: dict[str, str]
-    asked_abort: list[str]
-    aborted_at_s: dict[str, float]
+    submitted_at_s: dict[str, float] = msgspec.field(name="sent_s")
+    observed_states: dict[str, str] = msgspec.field(name="told")
+    cancel_requested: list[str] = msgspec.field(name="asked_abort")
+    cancelled_at_s: dict[str, float] = msgspec.field(name="aborted_at_s")
     completed: list[str]
-    starts: dict[str, int]
+    start_counts: dict[str, int] = msgspec.field(name="starts")
 
 
 class RecordedSurroundings(msgspec.Struct):
@@ -146,26 +146,27 @@
 
 def _restore_users(deployment: SimulatedDeployment, users: RecordedUsers) -> None:
     deployment.jobs.descriptions.update(users.jobs)
-    deployment.jobs.submitted_at.update({job: seconds(at) for job, at in users.sent_s.items()})
-    deployment.jobs.observed_states.update(users.told)
-    deployment.jobs.accepted.update(users.told)
-    deployment.jobs.cancel_requested.update(users.asked_abort)
-    deployment.jobs.cancelled_at.update({job: seconds(at) for job, at in users.aborted_at_s.items()})
+    deployment.jobs.submitted_at.update({job: seconds(at) for job, at in users.submitted_at_s.items()})
+    deployment.jobs.observed_states.update(users.observed_states)
+    deployment.jobs.accepted.update(users.observed_states)
+    deployment.jobs.cancel_requested.update(users.cancel_requested)
+    deployment.jobs.cancelled_at.update({job: seconds(at) for job, at in users.cancelled_at_s.items()})
     deployment.executions.completed.update(users.completed)
-    deployment.executions.start_counts.update(users.starts)
+    deployment.executions.start_counts.update(users.start_counts)
 
 
 def _restore_machines(deployment: SimulatedDeployment, surroundings: RecordedSurroundings) -> None:
-    deployment.cloud.made = surroundings.machines_made
-    deployment.cloud.answers.update(surroundings.rentals)
+    deployment.cloud.provisioned_count = surroundings.machines_made
+    deployment.cloud.provision_answers.update(surroundings.rentals)
     for recorded in surroundings.machines:
         since = seconds(recorded.since_s)
         machine = Machine(recorded.name, recorded.type, recorded.zone, recorded.spot, since, "running")
         deployment.cloud.machines[machine.name] = machine
         deployment.machines.start_worker(machine)
         worker = deployment.workers[machine.name]
-        worker.session, worker.tally, worker.token = recorded.session, recorded.tally, recorded.token
-        worker.done.update(recorded.done)
+        worker.incarnation, worker.sequence = recorded.incarnation, recorded.sequence
+        worker.token = recorded.token
+        worker.completed.update(recorded.done)
         for task in recorded.tasks:
             _restore_task(deployment, worker, task)
 
@@ -173,7 +174,7 @@
 def _restore_task(deployment: SimulatedDeployment, worker: Worker, recorded: RecordedTask) -> None:
     task = Task(recorded.name, recorded.attempt, recorded.stage, recorded.cause)
     worker.tasks[(task.name, task.attempt)] = task
-    if task.stage == "running":
+    if task.state == "running":
         deployment.executions.on_task_started(worker.machine.name, task.name)
     if recorded.left_s is not None:
         worker.resume(task, seconds(recorded.left_s))
--- a/tests/simulated_deployment.py
+++ b/tests/simulated_deployment.py
@@ -243,7 +243,7 @@
         self.clock.advance(step)
         self.violations += [found for found in errors.found if not found.startswith(self.expected_errors)]
         errors.found.clear()
-        self.state.expire()
+        self.state.expire_leases()
         self._observe_leader()
         for job_id in self.jobs.cancelled_at:
             self.placement.check_cancelled(job_id, self.executions.machines_of)
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -144,7 +144,7 @@
     def hang(self, machine: str, length: timedelta) -> None:
         """The machine, by name or address, does nothing, and then goes on."""
         worker = self._endpoints.workers.get(machine.partition(":")[0])
-        if worker is not None and not worker.gone:
+        if worker is not None and not worker.terminated:
             self._counts["hung"] += 1
             self._window.extend(length)
             worker.hang(length)
@@ -154,12 +154,12 @@
         """The cloud takes the machine away after a notice."""
         self._window.extend(length)
         worker = self._endpoints.workers[name]
-        worker.warning = self._clock.now() + length
-        worker.changed = True
+        worker.terminates_at = self._clock.now() + length
+        worker.has_changes = True
 
         def terminate() -> None:
             self._endpoints.cloud.machines.pop(name, None)
-            worker.end()
+            worker.terminate()
 
         self._clock.later(length, terminate)
 
@@ -168,7 +168,7 @@
         self._window.extend(timedelta(0))
         machines = self._endpoints.cloud.machines
         if name in machines:
-            machines[name].stage = "failed"
+            machines[name].state = "failed"
         self._machines.stop_worker(name)
 
     # Users.
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -66,7 +66,7 @@
     def stop_worker(self, name: str) -> None:
         """The machine is terminated."""
         if name in self._endpoints.workers:
-            self._endpoints.workers[name].end()
+            self._endpoints.workers[name].terminate()
 
     def _send_heartbeat(
         self, machine: Machine, controller: str, body: bytes, on_reply: Callable[[Reply | None], None]
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -158,7 +158,7 @@
         if target in self._endpoints.controllers:
             return self._serve_by_controller(target, method, path, body)
         worker = self._endpoints.workers.get(target.partition(":")[0])
-        return None if worker is None or worker.gone else worker.handle(method, path, body)
+        return None if worker is None or worker.terminated else worker.handle(method, path, body)
 
     def _serve_by_controller(self, name: str, method: str, path: str, body: bytes) -> Deferred:
         controller = self._endpoints.controllers[name]
--- a/tests/stored_tasks.py
+++ b/tests/stored_tasks.py
@@ -113,7 +113,7 @@
     def _sample(self) -> None:
         for name, worker in self._deployment.workers.items():
             for at in worker.tasks:
-                where = (name, worker.session)
+                where = (name, worker.incarnation)
                 if self._seen.setdefault(at, where) != where:
                     self._deployment.violations.append(f"attempt {at} on {where} and on {self._seen[at]}")
         self._deployment.clock.later(self._deployment.config.report / 10, self._sample)
--- a/tests/test_cancellations_in_store_outages.py
+++ b/tests/test_cancellations_in_store_outages.py
@@ -31,12 +31,12 @@
     deployment, jobs, leader = start_jobs(seed)
     deployment.network.refused_by_store.add(leader)
     for worker in deployment.workers.values():
-        worker.at = deployment.controller_names.index(leader)
+        worker.controller_index = deployment.controller_names.index(leader)
     if not peers_connected:
         for name in deployment.controller_names:
             deployment.network.cut(name, deployment.controller_names, False, seconds(60))
     # Messages of the other controllers to the machines are delayed too: only the old leader reaches them.
-    machines = [worker.machine.address for worker in deployment.workers.values() if not worker.gone]
+    machines = [worker.machine.address for worker in deployment.workers.values() if not worker.terminated]
     for name in deployment.controller_names:
         if name != leader:
             deployment.network.cut(name, machines, True, seconds(60))
--- a/tests/test_combined_faults_of_leadership.py
+++ b/tests/test_combined_faults_of_leadership.py
@@ -36,7 +36,7 @@
 
 
 def cut_one(deployment, length):
-    machines = sorted(name for name, worker in deployment.workers.items() if not worker.gone)
+    machines = sorted(name for name, worker in deployment.workers.items() if not worker.terminated)
     deployment.network.cut(
         address(deployment, deployment.rng.choice(machines)), deployment.controller_names, False, length
     )
@@ -118,7 +118,7 @@
     if seed % 2:
         # All machines at the old one.
         for worker in deployment.workers.values():
-            worker.at = old
+            worker.controller_index = old
     deployment.faults.isolate(old, seed % 3 == 0, seconds(35))
     deployment.run(seconds(6))
     others = [name for at, name in enumerate(deployment.controller_names) if at != old]
--- a/tests/test_combined_faults_of_placement.py
+++ b/tests/test_combined_faults_of_placement.py
@@ -66,14 +66,14 @@
     deployment = SimulatedDeployment(
         440 + seed, config=DeploymentConfig(capacity=4, teams=teams, lease=seconds(8))
     )
-    deployment.cloud.never_up = 0.0
+    deployment.cloud.boot_failure_probability = 0.0
     deployment.run(seconds(3))
     running(deployment, 4, vcpus=8.0, run_s=[9.0], crew="blue")
     old = deployment.leader()
     for worker in deployment.workers.values():
-        worker.at = (old + 1) % 3
+        worker.controller_index = (old + 1) % 3
     deployment.run(seconds(9))
-    machines = [worker.machine.address for worker in deployment.workers.values() if not worker.gone]
+    machines = [worker.machine.address for worker in deployment.workers.values() if not worker.terminated]
     assert len(machines) == 4
     deployment.network.cut(deployment.controller_names[old], machines, True, seconds(9.5 + seed / 4))
     first = deployment.users.submit(100, crew="red", threads=2, vcpus=2.0, run_s=20.0)
@@ -116,7 +116,7 @@
         )
 
     def lose():
-        living = sorted(name for name, worker in deployment.workers.items() if not worker.gone)
+        living = sorted(name for name, worker in deployment.workers.items() if not worker.terminated)
         if living:
             name = deployment.rng.choice(living)
             how = deployment.rng.choice(["dies", "taken", "cut"])
@@ -163,17 +163,17 @@
     cloud takes nothing back meanwhile. The start must not land after a cancellation's time."""
     # Too few machines for the leader to take itself for the one that is not heard.
     deployment = SimulatedDeployment(540 + seed, config=DeploymentConfig(capacity=2, teams=ROOMY))
-    deployment.cloud.never_up = 0.0
+    deployment.cloud.boot_failure_probability = 0.0
     deployment.run(seconds(3))
     running(deployment, 2, vcpus=6.0, run_s=8.0)
     leader = deployment.leader()
     for worker in deployment.workers.values():
-        worker.at = (leader + 1) % 3
+        worker.controller_index = (leader + 1) % 3
     deployment.run(seconds(3))
     machines = [worker.machine.address for worker in deployment.workers.values()]
     deployment.network.cut(deployment.controller_names[leader], machines, True, CANCEL + seconds(10))
-    deployment.cloud.trouble = True
-    deployment.clock.later(CANCEL + seconds(20), setattr, deployment.cloud, "trouble", False)
+    deployment.cloud.unavailable = True
+    deployment.clock.later(CANCEL + seconds(20), setattr, deployment.cloud, "unavailable", False)
     jobs = [deployment.users.submit(100 + number, threads=2, vcpus=1.0, run_s=30.0) for number in range(2)]
     deployment.run(seconds(1))
     assert any(assignment.starts_in_flight for assignment in deployment.placed_attempts()), (
@@ -194,11 +194,11 @@
 def test_mute_machines_get_no_work_that_they_would_lose(seed):
     """They reach no controller, so that their leases run out, though direct commands reach them."""
     deployment = SimulatedDeployment(560 + seed, config=DeploymentConfig(capacity=6, teams=ROOMY))
-    deployment.cloud.never_up = 0.0
+    deployment.cloud.boot_failure_probability = 0.0
     deployment.run(seconds(3))
     running(deployment, 6, vcpus=8.0, run_s=8.0)
     for worker in list(deployment.workers.values())[: len(deployment.workers) // 2]:
-        if not worker.gone:
+        if not worker.terminated:
             deployment.faults.stop_heartbeats(worker.machine.address, seconds(90))
     before = deployment.executions.started
     jobs = [deployment.users.submit(100 + number, threads=1, vcpus=8.0, run_s=14.0) for number in range(5)]
@@ -247,7 +247,7 @@
     # Accepted, placed, done, and its chunk removed; or cancelled instead of the last two.
     changes = (deployment.state.changes - first) / 480
     assert changes < 4.2, changes
-    assert deployment.state.too_many < 50
+    assert deployment.state.rejected_for_rate < 50
 
 
 def test_more_work_than_room_over_slow_links():
--- a/tests/test_combined_faults_of_store.py
+++ b/tests/test_combined_faults_of_store.py
@@ -42,7 +42,7 @@
 def test_new_machines_get_work_while_writes_lag_and_the_leader_ends(seed):
     """They are up within two seconds; what is recorded about them comes late, and another leads by then."""
     deployment = SimulatedDeployment(120 + seed, config=DeploymentConfig(capacity=10, teams=ROOMY))
-    deployment.cloud.boot_s = (0.2, 1.5)
+    deployment.cloud.boot_time_s = (0.2, 1.5)
     deployment.run(seconds(3))
     deployment.faults.during(seconds(25), "late_writes", 0.3)
     for number in range(12):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -44,7 +44,7 @@
 def settle_day(deployment):
     settle(deployment, 150.0, after_troubles=True)
     # A transaction that was too large is never sent again unchanged.
-    refused = deployment.state.too_large
+    refused = deployment.state.rejected_for_size
     assert len(set(refused)) == len(refused)
 
 
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -87,12 +87,12 @@
     """Ordinary machines were there, but were rented only after ten minutes, longer than a day lasts, and for
     a guest's work never."""
     deployment = SimulatedDeployment(32, config=DeploymentConfig(teams=(team,)))
-    deployment.cloud.no_spot = True
+    deployment.cloud.spot_exhausted = True
     deployment.run(seconds(2))
     job = deployment.users.submit(1, threads=2, run_s=2.0, windfall=True, urgency="normal")
     deployment.users.poll_until_over(job)
     deployment.run(STARTS_WITHIN)
-    assert deployment.cloud.refused
+    assert deployment.cloud.refused_count
     assert deployment.jobs.observed_states[job] == "done"
 
 
@@ -112,7 +112,7 @@
             deployment.clock.later(seconds(at), deployment.processes.start_unless_running, index)
 
     deployment = SimulatedDeployment(seed, config=DeploymentConfig(capacity=size), begin=begin)
-    deployment.cloud.no_spot = no_spot
+    deployment.cloud.spot_exhausted = no_spot
     latest = max(at for _, at, _, _, _ in faults)
     for kind, at, length, hold, pick in faults:
         deployment.clock.later(
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -52,7 +52,7 @@
     )
     deployment.run(SILENCE - seconds(40) - seconds(1))
     # Once its silence is detected it is sent nothing but the heartbeats of one connection after the other.
-    workers = sum(not worker.gone for worker in deployment.workers.values())
+    workers = sum(not worker.terminated for worker in deployment.workers.values())
     for (sender, kind), times in deployment.network.sent_to_silent.items():
         late = [at for at in times if at > silent_since + DETECTION_LIMIT]
         allowed = SILENCE / HEARTBEAT_INTERVAL if kind is PeerHeartbeat else 0
--- a/tests/test_simulated_deployment.py
+++ b/tests/test_simulated_deployment.py
@@ -95,7 +95,7 @@
     jobs = [deployment.users.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150)]
     deployment.run(seconds(8))
     # One node misses more than the store remembers.
-    deployment.state.kept = 5
+    deployment.state.max_log_entries = 5
     deployment.network.refused_by_store.add("node-1")
     jobs += [deployment.users.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150, 300)]
     deployment.run(seconds(8))
@@ -139,12 +139,12 @@
     # The node tells by a worker from another zone that it is cut off alone.
     other = "a" if deployment.controllers[deployment.controller_names[near]]._platform.zone == "b" else "b"
     worker.machine.zone = other
-    worker.at = near
+    worker.controller_index = near
     deployment.network.cut(
         deployment.controller_names[near], [*deployment.controller_names, "state"], False, seconds(30)
     )
     deployment.run(seconds(8))
-    assert worker.at != near
+    assert worker.controller_index != near
     deployment.run(seconds(50))
     assert deployment.executions.started == 1 and len(deployment.executions.completed) == 1
 
@@ -159,7 +159,7 @@
     deployment.run(seconds(8))
     order = {"verb": "start", "thread": task, "try": attempt}
     worker.handle(
-        "POST", "/orders", encode({"baton": worker.token, "spin": worker.session, "orders": [order]})
+        "POST", "/orders", encode({"baton": worker.token, "spin": worker.incarnation, "orders": [order]})
     )
     deployment.run(seconds(3))
     assert not any(deployment.executions.running_on.values()) and deployment.executions.started == 1
@@ -226,7 +226,7 @@
     deployment.users.submit(2, threads=12, vcpus=5.0, run_s=40.0, crew="blue")
     deployment.run(seconds(20))
     leader = deployment.leader()
-    machines = [worker.machine.address for worker in deployment.workers.values() if not worker.gone]
+    machines = [worker.machine.address for worker in deployment.workers.values() if not worker.terminated]
     assert len(machines) >= 6
     deployment.network.cut(deployment.controller_names[leader], machines, True, seconds(30))
     job = deployment.users.submit(3, threads=6, vcpus=1.0, run_s=1.0, urgency="critical")
@@ -245,7 +245,7 @@
     deployment.run(seconds(10))
     names, leader = deployment.controller_names, deployment.leader()
     for worker in deployment.workers.values():
-        worker.at = (leader + 1) % 3
+        worker.controller_index = (leader + 1) % 3
     for name in names:
         deployment.network.cut(name, names, False, seconds(20))
     deployment.run(seconds(8))
@@ -261,7 +261,7 @@
     deployment, machine, leader = busy_deployment(12)
     near = deployment.controller_names[(leader + 1) % 3]
     others = [name for name in deployment.controller_names if name != near]
-    deployment.workers[machine.partition(":")[0]].at = (leader + 1) % 3
+    deployment.workers[machine.partition(":")[0]].controller_index = (leader + 1) % 3
     deployment.run(seconds(3))
     deployment.network.cut(near, others, False, seconds(15))
     deployment.network.cut(machine, others, False, seconds(15))
@@ -278,11 +278,11 @@
     deployment, machine, leader = busy_deployment(17)
     old = deployment.controller_names[leader]
     worker = deployment.workers[machine.partition(":")[0]]
-    worker.at = leader
+    worker.controller_index = leader
     deployment.network.refused_by_store.add(old)
     deployment.run(seconds(5))
     new = deployment.leader()
-    assert new not in (None, leader) and worker.at == leader
+    assert new not in (None, leader) and worker.controller_index == leader
     deployment.run(seconds(8))
     heard = (
         deployment.controllers[deployment.controller_names[new]]
@@ -308,11 +308,11 @@
     deployment, machine, leader = busy_deployment(14)
     near = deployment.controller_names[(leader + 1) % 3]
     others = [name for name in deployment.controller_names if name != near]
-    deployment.workers[machine.partition(":")[0]].at = (leader + 1) % 3
+    deployment.workers[machine.partition(":")[0]].controller_index = (leader + 1) % 3
     deployment.run(seconds(3))
     deployment.network.cut(near, [*others, "state"], False, seconds(60))
     deployment.network.cut(machine, others, False, seconds(60))
-    deployment.cloud.trouble = True
+    deployment.cloud.unavailable = True
     deployment.run(seconds(1))
     deployment.users.cancel("job-000001")
     # SimulatedDeployment.run fails if the task is still on its machine after `cancel_s`.
--- a/tests/test_smaller_values.py
+++ b/tests/test_smaller_values.py
@@ -26,7 +26,7 @@
     """All machines report to a node that reaches the store but not the leader."""
     fleet = DeploymentConfig(capacity=MANY, teams=ONE_TEAM, next_limits=SMALL)
     deployment = SimulatedDeployment(51, config=fleet)
-    deployment.cloud.never_up = 0.0
+    deployment.cloud.boot_failure_probability = 0.0
     deployment.run(seconds(3))
     deployment.users.submit(1, threads=MANY, vcpus=8.0, mem_gb=0.1, run_s=200.0, reckon_s=200.0)
     while deployment.executions.started < MANY:
@@ -35,7 +35,7 @@
     others = [name for name in deployment.controller_names if name != near]
     machines = [worker.machine.address for worker in deployment.workers.values()]
     for worker in deployment.workers.values():
-        worker.at = deployment.controller_names.index(near)
+        worker.controller_index = deployment.controller_names.index(near)
     deployment.run(seconds(2))
     for name in others:
         deployment.network.cut(name, [*machines, near], False, seconds(20))
@@ -46,7 +46,7 @@
     named = deployment.state.keys[f"{LEASE_RENEWALS}{near}/1"][0]
     assert len(named) > MANY // 10
     deployment.run(seconds(10))
-    gone = [name for name, worker in deployment.workers.items() if worker.gone]
+    gone = [name for name, worker in deployment.workers.items() if worker.terminated]
     assert gone and not set(named) & set(gone)
 
 
@@ -60,7 +60,7 @@
     deployment.users.poll_until_over(job)
     deployment.run(seconds(40))
     assert deployment.jobs.observed_states[job] == "done"
-    assert not sizes(deployment, HISTORY) and not deployment.state.too_large
+    assert not sizes(deployment, HISTORY) and not deployment.state.rejected_for_size
 
 
 def test_the_end_of_a_job_with_a_long_record_is_written_in_a_shorter_form():
@@ -81,5 +81,5 @@
     deployment.run(seconds(40))
     assert deployment.jobs.observed_states[job] == "done"
     assert sizes(deployment, JOBS)[JOBS + job] <= MOST_BYTES
-    refused = deployment.state.too_large
+    refused = deployment.state.rejected_for_size
     assert len(set(refused)) == len(refused)
--- a/tests/test_whole_fleet.py
+++ b/tests/test_whole_fleet.py
@@ -33,7 +33,7 @@
 class Day:
     def __init__(self, seed: int) -> None:
         self.deployment = SimulatedDeployment(seed, config=FLEET)
-        self.deployment.cloud.page = 500
+        self.deployment.cloud.page_size = 500
         self.jobs: dict[str, tuple[str, str, bool]] = {}
         for at in range(100):
             self.deployment.clock.later(seconds(1 + at / 2), self.submit, at)
