--- a/tests/test_combined_faults_of_leadership.py
+++ b/tests/test_combined_faults_of_leadership.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_old_reports_reach_every_controller_as_a_new_leader_begins(seed):
+def test_old_heartbeats_reach_every_controller_as_a_new_leader_begins(seed):
     """Copies of reports of each age, from earlier sessions and attempts too: kept until the next leader leads
     and then brought to all nodes, or late by up to more than two leases."""
     deployment = SimulatedDeployment(300 + seed, error=0.1, config=DeploymentConfig(capacity=8, teams=ROOMY))
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_leader_cut_from_store_and_siblings_but_not_from_workers(seed):
+def test_a_leader_cut_from_store_and_peers_but_not_from_workers(seed):
     """Workers and users still reach it, and jobs are cancelled through the new leader."""
     deployment = SimulatedDeployment(360 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("away", [0.2, 8.0, 15.0])
-def test_all_controllers_are_away(seed, away):
+def test_all_controllers_restart_at_once(seed, away):
     """For a moment, or for longer than a lease; one is back within a second and hands over again."""
     deployment = SimulatedDeployment(380 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
--- a/tests/test_combined_faults_of_placement.py
+++ b/tests/test_combined_faults_of_placement.py
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_mute_machines_get_no_work_that_they_would_lose(seed):
+def test_machines_that_cannot_report_get_no_work_that_they_would_lose(seed):
     """They reach no controller, so that their leases run out, though direct commands reach them."""
     deployment = SimulatedDeployment(560 + seed, config=DeploymentConfig(capacity=6, teams=ROOMY))
     deployment.cloud.boot_failure_probability = 0.0
--- a/tests/test_combined_faults_of_store.py
+++ b/tests/test_combined_faults_of_store.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_gap(seed):
+def test_cancellations_hold_while_the_store_refuses_the_leader_and_is_then_down(seed):
     """The store refuses the leader alone; jobs are cancelled at the other nodes in that second; then it is
     down for all, for longer than a cancellation may take."""
     deployment = SimulatedDeployment(140 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_close_looks(seed):
+def test_all_controllers_agree_within_milliseconds_of_each_answer(seed):
     """All nodes are asked within milliseconds, again and again, and the submission repeated, after every
     answer that said something new; a third of the jobs are cancelled at once, and half of those that end at
     the moment of the end. All nodes then say the same for good."""
@@ -120,7 +120,7 @@
         assert status == 200
 
 
-def test_odd_requests():
+def test_invalid_requests_change_nothing():
     """Repeats of what is under way, cancellations of what is done, and jobs that can never run, while the
     store is slow and refuses nodes."""
     deployment = SimulatedDeployment(220, config=DeploymentConfig(capacity=8, teams=ROOMY))
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("loop", ["recorder", "renting", "list of machines", "planning"])
-def test_a_leader_one_of_whose_loops_always_breaks_makes_way_for_a_sibling(loop, monkeypatch):
+def test_a_leader_one_of_whose_loops_always_fails_hands_over_to_a_peer(loop, monkeypatch):
     """What breaks in one process need not break in the next."""
     owner, name = LOOPS[loop]
     method = getattr(owner, name)
@@ -154,7 +154,7 @@
     assert deployment.jobs.observed_states[job] == "done"
 
 
-def test_where_each_leader_breaks_leadership_does_not_go_round_in_circles(monkeypatch):
+def test_leaders_that_all_fail_hand_over_less_and_less_often(monkeypatch):
     """Each of the three makes way once, then after 60 s, 120 s and 240 s more."""
     monkeypatch.setattr(ClusterState, "snapshot", breaks_always)
     deployment = SimulatedDeployment(35)
--- a/tests/test_pipeline_cancellations.py
+++ b/tests/test_pipeline_cancellations.py
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("shape", [chain(4), diamond(), fan_out(4)], ids=["chain", "diamond", "out"])
-def test_cancelling_a_running_job_aborts_all_after_it(seed, shape):
+def test_cancelling_a_running_job_cancels_all_after_it(seed, shape):
     deployment, pipelines = ready(330 + seed)
     pipeline = pipelines.begin(shape, **LONG)
     run_until(deployment, lambda: pipeline.complete and deployment.executions.machines_of(pipeline.job(0)))
--- a/tests/test_pipeline_combined_faults.py
+++ b/tests/test_pipeline_combined_faults.py
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("before", [0.2, 0.9, 6.0])
 @pytest.mark.parametrize("seed", range(2))
-def test_an_ancestor_is_cancelled_as_its_last_task_ends_in_the_gap(seed, before):
+def test_an_ancestor_is_cancelled_as_its_last_task_ends_before_a_store_outage(seed, before):
     """The store begins to refuse the leader alone so many seconds before the tasks end, and one second later
     it is out for longer than `cancel_s`. Users cancel at any node in the moment of an end."""
     deployment, pipelines = ready(800 + seed)
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_dependent_is_sent_to_a_node_that_is_behind_and_its_answer_is_lost(seed):
+def test_a_dependent_is_sent_to_a_lagging_controller_and_its_answer_is_lost(seed):
     """The node learns of nothing that others accept, passes the request on, and its answer does not reach the
     user, who repeats it elsewhere. Some of the jobs that it needs are cancelled meanwhile."""
     deployment, pipelines = ready(810 + seed)
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_all_nodes_are_asked_within_milliseconds_about_pipelines(seed):
+def test_all_controllers_are_polled_within_milliseconds_about_pipelines(seed):
     """After each thing that a user is told; a fifth of the jobs are cancelled then, while leaders change."""
     deployment, pipelines = ready(820 + seed)
     deployment.faults.during(seconds(26), "poll_everywhere", True)
--- a/tests/test_pipeline_submissions.py
+++ b/tests/test_pipeline_submissions.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_node_that_is_behind_never_answers_422_for_an_accepted_job(seed):
+def test_a_lagging_controller_never_answers_422_for_an_accepted_job(seed):
     """The store refuses it, or answers slowly, while others accept jobs; it may only say 503."""
     deployment, pipelines = ready(460 + seed)
     behind = deployment.controller_names[seed % 3]
@@ -112,7 +112,7 @@
     pipelines.settle()
 
 
-def test_a_node_that_cannot_confirm_answers_503_for_an_unknown_dependency():
+def test_a_controller_that_cannot_confirm_answers_503_for_an_unknown_dependency():
     deployment, pipelines = ready(465)
     pipeline = pipelines.begin(chain(1), **(LONG | {"run_s": 60.0}))
     run_until(deployment, lambda: pipeline.complete)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_pipelines_in_calm(seed):
+def test_pipelines_without_faults(seed):
     deployment, pipelines = ready(300 + seed)
     pipelines.stream(10, seconds(1.5))
     deployment.run(seconds(16))
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_pipelines_with_failing_tasks_lost_machines_and_whatever(seed):
+def test_pipelines_with_failing_tasks_lost_messages_and_a_lost_machine(seed):
     deployment, pipelines = ready(320 + seed, error=0.05)
     pipelines.stream(8, seconds(1.5))
     pipelines.cancel_some(0.1, seconds(6))
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_recorded_jobs_are_answered_by_every_node(seed):
+def test_recorded_jobs_are_answered_by_every_controller(seed):
     deployment = recorded_deployment(seed, nodes=(0, 1, 2))
     deployment.run(seconds(3))
     done, aborted = recorded_jobs("done"), recorded_jobs("aborted")
@@ -306,7 +306,7 @@
             )
 
 
-def test_sibling_messages_mean_the_same_to_production():
+def test_peer_messages_mean_the_same_to_production():
     sent = the_day().network.sent_messages
     assert {PRODUCTION_MESSAGES[type(message)] for message, _ in sent} >= {"Ping", "Relay", "Relayed"}
     for message, data in sent:
@@ -317,7 +317,7 @@
 
 
 @pytest.mark.parametrize("stage", ["done", "aborted"])
-def test_a_job_that_production_ended_is_over_at_every_node(stage):
+def test_a_job_that_production_ended_is_over_at_every_controller(stage):
     """Production drops the fields that it does not know when it ends a job."""
     deployment = recorded_deployment(3, nodes=(0, 1, 2))
     deployment.run(seconds(4))
--- a/tests/test_simulated_deployment.py
+++ b/tests/test_simulated_deployment.py
@@ -111,7 +111,7 @@
     assert set(got.values()) == {200} and len(got) == 900
 
 
-def test_a_machine_that_does_not_hear_gets_no_more_work():
+def test_an_unreachable_machine_gets_no_more_work():
     """Its reports arrive, but nothing that is sent to it. It used to be taken for a good machine, given a
     task again after each lost lease, and the task waited there."""
     deployment = SimulatedDeployment(22, capacity=2)
@@ -131,7 +131,7 @@
     assert first not in cluster.machines or not cluster.machines[first].placed
 
 
-def test_workers_leave_a_node_that_has_lost_the_store_and_its_siblings():
+def test_workers_leave_a_controller_that_has_lost_the_store_and_its_peers():
     """It could renew their leases, but has no orders for them; elsewhere there is a leader."""
     deployment, machine, leader = busy_deployment(23)
     near = (leader + 1) % 3
@@ -165,7 +165,7 @@
     assert not any(deployment.executions.running_on.values()) and deployment.executions.started == 1
 
 
-def test_a_quiet_day_is_done_quickly():
+def test_jobs_without_faults_are_done_quickly():
     deployment = SimulatedDeployment(1)
     deployment.run(seconds(3))
     jobs = [deployment.users.submit(number, threads=3, run_s=2.0) for number in range(3)]
@@ -188,7 +188,7 @@
     return deployment, deployment.workers[machine].machine.address, deployment.leader()
 
 
-def test_a_leader_cut_off_from_all_but_the_store_makes_room():
+def test_a_leader_cut_off_from_all_but_the_store_steps_down():
     """It used to lead on, and would have released every machine once their leases had passed."""
     deployment, machine, leader = busy_deployment(11)
     everyone = [
@@ -201,7 +201,7 @@
     assert deployment.executions.started == 1 and len(deployment.executions.completed) == 1
 
 
-def test_a_leader_that_stood_still_gives_back_nothing():
+def test_a_leader_that_was_frozen_terminates_no_machine():
     """When it goes on it has heard of no machine for longer than any lease, and of no successor either; it
     once gave back the whole fleet, which its successor was using."""
     deployment, machine, leader = busy_deployment(14, run_s=80.0)
@@ -217,7 +217,7 @@
     assert deployment.executions.started == 1 and len(deployment.executions.completed) == 1
 
 
-def test_a_leader_that_machines_do_not_hear_makes_room():
+def test_a_leader_that_cannot_reach_machines_steps_down():
     """Their reports come by way of its siblings, but no order reaches them. It took them all for deaf, and
     nothing was placed for as long as that lasted."""
     deployment = SimulatedDeployment(15, capacity=8)
@@ -237,7 +237,7 @@
     assert deployment.jobs.observed_states[job] == "done"
 
 
-def test_machines_of_nodes_that_cannot_reach_the_leader_are_used():
+def test_machines_of_controllers_that_cannot_reach_the_leader_are_used():
     """The links between nodes are refused, and only the store tells the leader that those machines live."""
     deployment = SimulatedDeployment(16, capacity=8)
     deployment.run(seconds(3))
@@ -256,7 +256,7 @@
     assert all(leader.cluster.is_usable(machine, now) for machine in leader.cluster.machines.values())
 
 
-def test_a_task_behind_a_cut_with_one_node_runs_on():
+def test_a_task_behind_a_cut_with_one_controller_runs_on():
     """That node cannot reach the leader; it renews the lease itself and vouches through the store."""
     deployment, machine, leader = busy_deployment(12)
     near = deployment.controller_names[(leader + 1) % 3]
@@ -272,7 +272,7 @@
     assert deployment.jobs.observed_states["job-000001"] == "done"
 
 
-def test_a_node_that_the_store_refuses_still_finds_the_new_leader():
+def test_a_controller_that_the_store_refuses_still_finds_the_new_leader():
     """The old leader, refused by the store alone, saw no other elected; it renewed its workers' leases by
     itself, and the new leader gave up 46 machines as silent."""
     deployment, machine, leader = busy_deployment(17)
@@ -320,7 +320,7 @@
     assert "job-000001" in deployment.jobs.cancelled_at
 
 
-def test_the_largest_job_is_taken_started_and_aborted():
+def test_the_largest_job_is_accepted_started_and_cancelled():
     deployment = SimulatedDeployment(16)
     job = deployment.users.submit(1, threads=100_000, vcpus=1.0, mem_gb=1.0, run_s=2.0)
     deployment.run(seconds(25))
--- a/tests/test_smaller_values.py
+++ b/tests/test_smaller_values.py
@@ -22,7 +22,7 @@
     return {key: len(encode(value)) for key, (value, _, _) in values if key.startswith(prefix)}
 
 
-def test_a_node_on_its_own_vouches_in_as_many_values_as_it_takes():
+def test_an_isolated_controller_reports_lease_renewals_in_as_many_values_as_it_takes():
     """All machines report to a node that reaches the store but not the leader."""
     fleet = DeploymentConfig(capacity=MANY, teams=ONE_TEAM, next_limits=SMALL)
     deployment = SimulatedDeployment(51, config=fleet)
