--- a/tests/deployment_config.py
+++ b/tests/deployment_config.py
@@ -34,7 +34,7 @@
 class DeploymentConfig:
     """What a deployment is like."""
 
-    nodes: int = 3
+    controllers: int = 3
     # Machines that the cloud has.
     capacity: int = 5
     report: timedelta = seconds(1)
@@ -68,7 +68,7 @@
 
 def platform_settings(index: int, at: DeploymentConfig) -> dict[str, Any]:
     """The same as the platform writes them down."""
-    names = [f"node-{number}" for number in range(at.nodes)]
+    names = [f"node-{number}" for number in range(at.controllers)]
     return {
         "node": names[index],
         "zone": "ab"[index % 2],
--- a/tests/invariants/liveness_invariants.py
+++ b/tests/invariants/liveness_invariants.py
@@ -1,4 +1,4 @@
-"""That the service goes on once all troubles are over, checked in every simulated deployment."""
+"""That the service goes on once all faults are over, checked in every simulated deployment."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING
@@ -10,7 +10,7 @@
     from spindleglade.controller.controller import Controller
     from tests.simulated_deployment import SimulatedDeployment
 
-# How long, once there is no trouble, no controller may lead that is entitled to start and to rent.
+# How long, once there is no fault, no controller may lead that is entitled to start and to rent.
 LEADS_WITHIN = seconds(20)
 # How long no task may run while accepted work waits and there is room for it.
 STARTS_WITHIN = seconds(90)
@@ -29,7 +29,7 @@
     def __init__(self, deployment: "SimulatedDeployment") -> None:
         self._deployment = deployment
         self._looked = timedelta(0)
-        # Since when there has been no trouble, with these controllers' processes.
+        # Since when there has been no fault, with these controllers' processes.
         self._quiet_since = timedelta(0)
         self._processes: set[int] = set()
         self._latest_start = timedelta(0)
@@ -45,7 +45,7 @@
         if now - self._looked < LOOK_EVERY:
             return
         self._looked = now
-        processes = {id(node) for node in self._deployment.controllers.values()}
+        processes = {id(controller) for controller in self._deployment.controllers.values()}
         if self._troubled() or processes != self._processes:
             self._quiet_since, self._processes = now, processes
         self._look_at_leader(now)
@@ -64,7 +64,7 @@
         )
 
     def _look_at_leader(self, now: timedelta) -> None:
-        leaders = [node for node in self._deployment.controllers.values() if node.is_leader]
+        leaders = [controller for controller in self._deployment.controllers.values() if controller.is_leader]
         if any(map(_may_act, leaders)):
             self._led = now
         elif self._processes and now - max(self._quiet_since, self._led) > LEADS_WITHIN:
@@ -92,10 +92,10 @@
         self._deployment.violations.append(f"{what} at {self._deployment.clock.now()}")
 
 
-def _may_act(node: "Controller") -> bool:
+def _may_act(controller: "Controller") -> bool:
     """Whether the leader may start tasks, and rent and give back machines."""
     return (
-        node.leader is not None
-        and node._leader_cancellation_freshness.permits_renewals
-        and node.is_leadership_proven()
+        controller.leader is not None
+        and controller._leader_cancellation_freshness.permits_renewals
+        and controller.is_leadership_proven()
     )
--- a/tests/invariants/service_invariants.py
+++ b/tests/invariants/service_invariants.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from tests.simulated_deployment import SimulatedDeployment
 
-# How long a job may wait, once all troubles are over, while there is room for it.
+# How long a job may wait, once all faults are over, while there is room for it.
 IDLE_ROOM = seconds(90)
 # How soon the largest jobs of a class must begin, and the share of each kind of job that must be served.
 BEGINS_WITHIN = seconds(240)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -42,7 +42,7 @@
         self.cloud = Cloud(self.clock, random.Random(1), TYPES, 4, self.machine_up, lambda name: None)
         self.jobs, self.workers, self.ports = {}, {}, []
         self.state_at, self.cloud_at = self.listen(self.state.handle), self.listen(self.cloud.handle)
-        self.nodes = [f"127.0.0.1:{free_port()}" for _ in range(3)]
+        self.controllers = [f"127.0.0.1:{free_port()}" for _ in range(3)]
         peers = [f"127.0.0.1:{free_port()}" for _ in range(3)]
         self.processes = {}
         self.files = []
@@ -53,7 +53,7 @@
                     {
                         "node": f"node-{at}",
                         "zone": "a",
-                        "client_listen": self.nodes[at],
+                        "client_listen": self.controllers[at],
                         "peer_bind": peers[at],
                         "siblings": [
                             {"node": f"node-{other}", "zone": "a", "endpoint": peers[other]}
@@ -98,10 +98,10 @@
         )
 
     def machine_up(self, machine):
-        def send(node, body, answered):
+        def send(controller, body, answered):
             async def ask():
                 try:
-                    response = await self.http.request("POST", node, "/v1/report", body, seconds(4))
+                    response = await self.http.request("POST", controller, "/v1/report", body, seconds(4))
                     answered((response.status, response.body))
                 except NoResponseError:
                     answered(None)
@@ -116,7 +116,7 @@
             seconds(0.5),
             seconds(6),
             self.jobs,
-            self.nodes,
+            self.controllers,
             send,
             lambda *_: None,
             lambda *_: None,
@@ -134,7 +134,7 @@
 
     async def ask(self, at, method, path, body=None):
         """One request to one controller."""
-        return await self.http.request(method, self.nodes[at], path, body, seconds(3))
+        return await self.http.request(method, self.controllers[at], path, body, seconds(3))
 
     async def ask_until(self, method, path, body, *statuses, stage=None):
         """Asks one controller after the other until one gives such an answer; None: none did in a minute."""
@@ -156,7 +156,7 @@
         return None
 
     async def serves(self, at):
-        """Whether this very node says within a minute that it is ready."""
+        """Whether this very controller says within a minute that it is ready."""
         end = time.monotonic() + 60
         while time.monotonic() < end:
             try:
--- a/tests/pipeline_deployments.py
+++ b/tests/pipeline_deployments.py
@@ -13,14 +13,14 @@
 
 
 def ready(seed, **named):
-    """A deployment whose nodes have elected a leader, and its pipelines."""
+    """A deployment whose controllers have elected a leader, and its pipelines."""
     deployment = SimulatedDeployment(seed, config=ROOMY, **named)
     deployment.run(seconds(3))
     return deployment, Pipelines(deployment)
 
 
 def stages_of(deployment, jobs):
-    """What all nodes say of each job: they must agree."""
+    """What all controllers say of each job: they must agree."""
     got = {}
     for (_, job), (status, body) in answers_everywhere(deployment, jobs).items():
         assert status == 200, (job, status)
@@ -28,11 +28,16 @@
     return [got[job] for job in jobs]
 
 
-def post(deployment, body, node):
-    """The status of a submission sent once to one node, straight."""
+def post(deployment, body, controller):
+    """The status of a submission sent once to one controller, straight."""
     got = []
     deployment.users.request(
-        "POST", "/submissions", encode(body), lambda status, answer: got.append((status, answer)), 0, node
+        "POST",
+        "/submissions",
+        encode(body),
+        lambda status, answer: got.append((status, answer)),
+        0,
+        controller,
     )
     deployment.run(seconds(3))
     return got[0] if got else None
--- a/tests/pipelines.py
+++ b/tests/pipelines.py
@@ -9,7 +9,7 @@
 from tests.invariants.dependency_invariants import OVER
 from tests.simulated_deployment import SimulatedDeployment
 
-# By then all that waits is served once the last trouble is over.
+# By then all that waits is served once the last fault is over.
 SETTLED_WITHIN = seconds(90)
 
 
@@ -65,7 +65,8 @@
 
 
 class Pipeline:
-    """The jobs of one shape. Each is submitted at any node once those that it needs are accepted, or over."""
+    """The jobs of one shape. Each is submitted at any controller once those that it needs are accepted, or
+    over."""
 
     def __init__(
         self, deployment: SimulatedDeployment, first: int, shape: Shape, fields: list[dict[str, Any]]
@@ -153,8 +154,8 @@
         }
 
     def settle(self, span: timedelta = SETTLED_WITHIN) -> None:
-        """Once all is well each pipeline is submitted in full, each job ends, and users hear so: a job that
-        nobody cancelled, nor any before it, is done, and what comes after an aborted one is aborted."""
+        """Once all is well each pipeline is submitted in full, each job ends, and users hear so: a job
+        that nobody cancelled, nor any before it, is done, and what comes after an aborted one is aborted."""
         deployment = self.deployment
         end = max(deployment.clock.now(), deployment.fault_window.ends_at) + span
         while not self._settled() and deployment.clock.now() < end:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -20,7 +20,8 @@
 
 
 class Errors(logging.Handler):
-    """What the nodes log as an error: some coroutine or listener broke, which no trouble may bring about."""
+    """What the controllers log as an error: some coroutine or listener broke, which no fault may bring
+    about."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
--- a/tests/recorded_day.py
+++ b/tests/recorded_day.py
@@ -114,13 +114,13 @@
 
 
 def recorded_deployment(
-    seed: int, config: DeploymentConfig = RECORDED, nodes: tuple[int, ...] = ()
+    seed: int, config: DeploymentConfig = RECORDED, controllers: tuple[int, ...] = ()
 ) -> SimulatedDeployment:
-    """A deployment that goes on from the recorded moment, with those nodes started."""
+    """A deployment that goes on from the recorded moment, with those controllers started."""
 
     def begin(deployment: SimulatedDeployment) -> None:
         _restore(deployment)
-        for index in nodes:
+        for index in controllers:
             deployment.processes.start(index)
 
     return SimulatedDeployment(seed, config=config, begin=begin)
@@ -183,12 +183,12 @@
 def answers_everywhere(
     deployment: SimulatedDeployment, jobs: list[str]
 ) -> dict[tuple[str, str], tuple[int, Any]]:
-    """What each node answers for each job, asked straight: the status and the body."""
+    """What each controller answers for each job, asked straight: the status and the body."""
     got: dict[tuple[str, str], tuple[int, Any]] = {}
     waiting: list[Deferred] = []
-    for name, node in deployment.controllers.items():
+    for name, controller in deployment.controllers.items():
         for job in jobs:
-            waiting.append(Deferred.fromCoroutine(node.handle("GET", f"/submissions/{job}", b"")))
+            waiting.append(Deferred.fromCoroutine(controller.handle("GET", f"/submissions/{job}", b"")))
             waiting[-1].addCallback(
                 lambda answer, at=(name, job): got.update(
                     {at: (answer.status, msgspec.json.decode(answer.body))}
--- a/tests/simulated_deployment.py
+++ b/tests/simulated_deployment.py
@@ -78,7 +78,7 @@
         if begin is not None:
             begin(self)
         else:
-            for index in range(self.config.nodes):
+            for index in range(self.config.controllers):
                 self.processes.start(index)
 
     def _add_services(self) -> None:
@@ -94,7 +94,7 @@
         )
 
     def _add_network(self) -> None:
-        names = [f"node-{index}" for index in range(self.config.nodes)]
+        names = [f"node-{index}" for index in range(self.config.controllers)]
         self.endpoints = Endpoints(self.state, self.cloud, names)
         self.network = self.network_type(
             self.clock,
--- a/tests/test_both_versions.py
+++ b/tests/test_both_versions.py
@@ -23,14 +23,14 @@
 CONFIG = DeploymentConfig(capacity=14, machine_cpus=16.0, teams=TEAMS, next_limits=NEXT_LIMITS)
 # Tasks of an array whose chunk, as production sizes it, is larger than the next limit on values.
 LARGE = 150
-ALL_NODES = (0, 1, 2)
+ALL_CONTROLLERS = (0, 1, 2)
 
 
-def begin_day(seed, old=ALL_NODES, **named):
+def begin_day(seed, old=ALL_CONTROLLERS, **named):
     """Those controllers run production, the others this version; work is under way."""
 
     def begin(deployment):
-        for index in ALL_NODES:
+        for index in ALL_CONTROLLERS:
             if index in old:
                 deployment.endpoints.versions[deployment.controller_names[index]] = production()
             deployment.processes.start(index)
@@ -74,7 +74,7 @@
     deployment.clock.later(seconds(away), deployment.processes.start_unless_running, index)
 
 
-def old_nodes(deployment):
+def old_controllers(deployment):
     """The controllers that run production, by their numbers."""
     return [
         at for at, name in enumerate(deployment.controller_names) if name in deployment.endpoints.versions
@@ -95,7 +95,7 @@
 
 def finish_day(deployment):
     """This version runs everywhere: pipelines begin, some after jobs of production, and the limits fall."""
-    assert not old_nodes(deployment)
+    assert not old_controllers(deployment)
     pipelines = Pipelines(deployment, 5000)
     for shape in (chain(4, late=True), diamond(), fan_in(4)):
         pipelines.begin(shape, threads=1, vcpus=1.0, mem_gb=0.1, run_s=2.0)
@@ -128,8 +128,8 @@
     """All processes of the version that leads end for a while and come back as they were; one of the other
     version leads meanwhile."""
     leading = leading_version(deployment)
-    old = set(old_nodes(deployment))
-    for index in old if leading == "production" else set(ALL_NODES) - old:
+    old = set(old_controllers(deployment))
+    for index in old if leading == "production" else set(ALL_CONTROLLERS) - old:
         deployment.faults.restart(index, seconds(9))
     for _ in range(90):
         deployment.run(seconds(0.1))
@@ -177,7 +177,7 @@
 
 
 @settings(max_examples=12)
-@given(st.integers(0, 1 << 30), FAULTS, st.permutations(ALL_NODES))
+@given(st.integers(0, 1 << 30), FAULTS, st.permutations(ALL_CONTROLLERS))
 def test_no_rule_is_broken_between_the_versions_whatever_fails(seed, faults, order):
     deployment = begin_day(seed)
     stream(deployment, 30, 0.8)
--- a/tests/test_combined_faults_of_leadership.py
+++ b/tests/test_combined_faults_of_leadership.py
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_old_heartbeats_reach_every_controller_as_a_new_leader_begins(seed):
     """Copies of reports of each age, from earlier sessions and attempts too: kept until the next leader leads
-    and then brought to all nodes, or late by up to more than two leases."""
+    and then brought to all controllers, or late by up to more than two leases."""
     deployment = SimulatedDeployment(300 + seed, error=0.1, config=DeploymentConfig(capacity=8, teams=ROOMY))
     busy(deployment, 60)
     deployment.run(seconds(2))
--- a/tests/test_combined_faults_of_placement.py
+++ b/tests/test_combined_faults_of_placement.py
@@ -84,7 +84,7 @@
     deployment.users.cancel(first)
     second = deployment.users.submit(101, crew="red", threads=2, vcpus=2.0, run_s=20.0)
     deployment.run(seconds(3.5))
-    # Their leases were renewed by a sibling until now; the new leader comes.
+    # Their leases were renewed by a peer until now; the new leader comes.
     for machine in at:
         deployment.faults.make_unreachable(machine, seconds(7))
     deployment.run(seconds(6))
@@ -159,7 +159,7 @@
 @pytest.mark.parametrize("relayed", [True, False])
 def test_a_start_is_held_up_and_its_job_cancelled(seed, relayed):
     """The way from the leader to a machine holds all back, while the machine's reports come by way of a
-    sibling, so that its lease goes on; or the sibling reaches the store alone, and renews it by itself. The
+    peer, so that its lease goes on; or the peer reaches the store alone, and renews it by itself. The
     cloud takes nothing back meanwhile. The start must not land after a cancellation's time."""
     # Too few machines for the leader to take itself for the one that is not heard.
     deployment = SimulatedDeployment(540 + seed, config=DeploymentConfig(capacity=2, teams=ROOMY))
--- a/tests/test_combined_faults_of_store.py
+++ b/tests/test_combined_faults_of_store.py
@@ -17,8 +17,9 @@
 @pytest.mark.parametrize("seed, at_end", [*((seed, 0.0) for seed in range(6)), (0, 0.6), (2, 0.6), (4, 0.6)])
 @pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
 def test_transactions_without_an_answer(seed, at_end, which):
-    """Carried out late, after newer ones of the same controller, or at once with only the answer lost while
-    other nodes read what they wrote; users look closely and cancel at an end, and the leader ends amid it."""
+    """Carried out late, after newer ones of the same controller, or at once with only the answer lost
+    while other controllers read what they wrote; users look closely and cancel at an end, and the leader
+    ends amid it."""
     deployment = SimulatedDeployment(100 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     busy(deployment, 40)
     deployment.clock.later(
@@ -63,8 +64,8 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_cancellations_hold_while_the_store_refuses_the_leader_and_is_then_down(seed):
-    """The store refuses the leader alone; jobs are cancelled at the other nodes in that second; then it is
-    down for all, for longer than a cancellation may take."""
+    """The store refuses the leader alone; jobs are cancelled at the other controllers in that second; then
+    it is down for all, for longer than a cancellation may take."""
     deployment = SimulatedDeployment(140 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
     # Others go on, so that the leader keeps its fleet and its workers their sessions.
@@ -100,9 +101,9 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_all_controllers_agree_within_milliseconds_of_each_answer(seed):
-    """All nodes are asked within milliseconds, again and again, and the submission repeated, after every
-    answer that said something new; a third of the jobs are cancelled at once, and half of those that end at
-    the moment of the end. All nodes then say the same for good."""
+    """All controllers are asked within milliseconds, again and again, and the submission repeated, after
+    every answer that said something new; a third of the jobs are cancelled at once, and half of those that
+    end at the moment of the end. All controllers then say the same for good."""
     deployment = SimulatedDeployment(200 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
     deployment.faults.during(seconds(30), "poll_everywhere", True)
@@ -122,7 +123,7 @@
 
 def test_invalid_requests_change_nothing():
     """Repeats of what is under way, cancellations of what is done, and jobs that can never run, while the
-    store is slow and refuses nodes."""
+    store is slow and refuses controllers."""
     deployment = SimulatedDeployment(220, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
     busy(deployment, 40)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,7 +21,7 @@
 
 def begin_day(seed):
     """Production's day goes on with this version, which is told of the next limits; new arrays come in."""
-    deployment = recorded_deployment(seed, ANNOUNCED, nodes=(0, 1, 2))
+    deployment = recorded_deployment(seed, ANNOUNCED, controllers=(0, 1, 2))
     StoredTasks(deployment)
     Attempts(deployment)
     for job in list(deployment.jobs.descriptions):
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -181,13 +181,15 @@
 
 
 def test_a_leader_that_cannot_read_the_records_makes_way(monkeypatch):
-    """It kept its lease and read in vain, and no sibling could lead."""
+    """It kept its lease and read in vain, and no peer could lead."""
     deployment = SimulatedDeployment(37)
     read_all = StateClient.read_all
     first = []
 
     async def fails_for_the_first(self, prefix):
-        leading = [node for node in deployment.controllers.values() if node.leader is not None]
+        leading = [
+            controller for controller in deployment.controllers.values() if controller.leader is not None
+        ]
         if leading and not first:
             first.append(leading[0].client)
         if first and self is first[0]:
--- a/tests/test_pipeline_cancellations.py
+++ b/tests/test_pipeline_cancellations.py
@@ -88,8 +88,8 @@
     run_until(deployment, lambda: pipeline.complete)
     deployment.users.cancel(pipeline.job(0))
     run_until(deployment, lambda: pipeline.job(0) in deployment.jobs.cancelled_at, 5)
-    for node in deployment.controller_names:
-        deployment.users.cancel(pipeline.job(2), 0, node)
+    for controller in deployment.controller_names:
+        deployment.users.cancel(pipeline.job(2), 0, controller)
     deployment.run(seconds(3))
     assert (
         deployment.jobs.observed_states[pipeline.job(2)] == "aborted"
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_all_after_a_job_cancelled_through_another_node_know_it_there(seed):
-    """Cancelled at one node, asked for within milliseconds at all others."""
+    """Cancelled at one controller, asked for within milliseconds at all others."""
     deployment, pipelines = ready(390 + seed)
     deployment.faults.during(seconds(30), "poll_everywhere", True)
     shapes = [pipelines.begin(shape, **LONG) for shape in (chain(4), diamond(), fan_out(4))]
@@ -116,8 +116,8 @@
     )
     for pipeline in shapes:
         for job in pipeline.jobs:
-            for node in deployment.controller_names:
-                deployment.users.poll(job, node)
+            for controller in deployment.controller_names:
+                deployment.users.poll(job, controller)
     deployment.run(seconds(1))
     assert {deployment.jobs.observed_states[job] for pipeline in shapes for job in pipeline.jobs} == {
         "aborted"
--- a/tests/test_pipeline_combined_faults.py
+++ b/tests/test_pipeline_combined_faults.py
@@ -1,4 +1,4 @@
-"""Two troubles at once, with jobs that need each other in the middle of them: docs/meetings.md lists them.
+"""Two faults at once, with jobs that need each other in the middle of them: docs/meetings.md lists them.
 SimulatedDeployment.run checks the rules of chained jobs at every moment, and that nobody is left waiting or
 forgotten."""
 
@@ -20,7 +20,7 @@
 
 
 def ready(seed, **fields):
-    """A deployment whose nodes have elected a leader, and its pipelines."""
+    """A deployment whose controllers have elected a leader, and its pipelines."""
     config = DeploymentConfig(capacity=14, machine_cpus=16.0, teams=TEAMS, next_limits=NEXT_LIMITS, **fields)
     deployment = SimulatedDeployment(seed, config=config)
     StoredTasks(deployment)
@@ -32,8 +32,8 @@
 @pytest.mark.parametrize("before", [0.2, 0.9, 6.0])
 @pytest.mark.parametrize("seed", range(2))
 def test_an_ancestor_is_cancelled_as_its_last_task_ends_before_a_store_outage(seed, before):
-    """The store begins to refuse the leader alone so many seconds before the tasks end, and one second later
-    it is out for longer than `cancel_s`. Users cancel at any node in the moment of an end."""
+    """The store begins to refuse the leader alone so many seconds before the tasks end, and one second
+    later it is out for longer than `cancel_s`. Users cancel at any controller in the moment of an end."""
     deployment, pipelines = ready(800 + seed)
     for shape in (chain(3), diamond(), fan_out(3), fan_in(3)):
         pipelines.begin(shape, **SMALL, crew="red", run_s=[9.0])
@@ -54,8 +54,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_dependent_is_sent_to_a_lagging_controller_and_its_answer_is_lost(seed):
-    """The node learns of nothing that others accept, passes the request on, and its answer does not reach the
-    user, who repeats it elsewhere. Some of the jobs that it needs are cancelled meanwhile."""
+    """The controller learns of nothing that others accept, passes the request on, and its answer does not
+    reach the user, who repeats it elsewhere. Some of the jobs that it needs are cancelled meanwhile."""
     deployment, pipelines = ready(810 + seed)
     behind = seed % 3
     name = deployment.controller_names[behind]
@@ -156,8 +156,8 @@
 
 
 def test_a_job_with_a_thousand_descendants_is_cancelled_as_limits_fall_and_a_leader_takes_over():
-    """Half of them need it directly, half through another. Nothing is written for them, so neither the lower
-    rates nor a takeover delay what every node says of them."""
+    """Half of them need it directly, half through another. Nothing is written for them, so neither the
+    lower rates nor a takeover delay what every controller says of them."""
     deployment, pipelines = ready(850, rps=2000.0, write_rps=600.0)
     first = deployment.users.submit(1, **SMALL, run_s=[60.0])
     run_until(deployment, lambda: deployment.executions.machines_of(first))
--- a/tests/test_pipeline_submissions.py
+++ b/tests/test_pipeline_submissions.py
@@ -15,8 +15,8 @@
 from tests.waiting import run_until
 
 
-@pytest.mark.parametrize("node", range(3))
-def test_a_job_that_names_one_never_accepted_gets_422(node):
+@pytest.mark.parametrize("controller", range(3))
+def test_a_job_that_names_one_never_accepted_gets_422(controller):
     deployment, pipelines = ready(450)
     pipeline = pipelines.begin(chain(1), **LONG)
     run_until(deployment, lambda: pipeline.complete)
@@ -24,7 +24,7 @@
         body = dict(
             deployment.jobs.descriptions[pipeline.job(0)], ref=f"job-{500 + number:06d}", awaits=awaits
         )
-        status, _ = post(deployment, body, deployment.controller_names[node])
+        status, _ = post(deployment, body, deployment.controller_names[controller])
         assert status == 422, awaits
         # It was never accepted.
         assert all(status == 404 for status, _ in answers_everywhere(deployment, [body["ref"]]).values())
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -85,6 +85,6 @@
     pipelines.stream(8, seconds(2.2))
     for kind, at, length, hold, pick in faults:
         deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
-    # The latest trouble has begun by then; what they leave behind is told by the deployment.
+    # The latest fault has begun by then; what they leave behind is told by the deployment.
     deployment.run(seconds(24))
     pipelines.settle(seconds(150))
--- a/tests/test_pipelines_after_roll.py
+++ b/tests/test_pipelines_after_roll.py
@@ -18,7 +18,7 @@
 
 def rolled_deployment(seed):
     """All three are of this version, and production's day goes on."""
-    deployment = recorded_deployment(seed, nodes=(0, 1, 2))
+    deployment = recorded_deployment(seed, controllers=(0, 1, 2))
     StoredTasks(deployment)
     Attempts(deployment)
     for job in list(deployment.jobs.descriptions):
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_leader_takes_over_every_placement_attempt_number_and_done(seed):
-    deployment = recorded_deployment(seed, nodes=(1,))
+    deployment = recorded_deployment(seed, controllers=(1,))
     # Nothing of the machines comes through before the leader is looked at.
     machines = [worker.machine.address for worker in deployment.workers.values()]
     deployment.network.cut(deployment.controller_names[1], machines, False, seconds(3))
@@ -202,11 +202,11 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_recorded_jobs_are_answered_by_every_controller(seed):
-    deployment = recorded_deployment(seed, nodes=(0, 1, 2))
+    deployment = recorded_deployment(seed, controllers=(0, 1, 2))
     deployment.run(seconds(3))
     done, aborted = recorded_jobs("done"), recorded_jobs("aborted")
-    for (node, job), (status, body) in answers_everywhere(deployment, sorted(done | aborted)).items():
-        assert (status, body["stage"]) == (200, "done" if job in done else "aborted"), (node, job)
+    for (controller, job), (status, body) in answers_everywhere(deployment, sorted(done | aborted)).items():
+        assert (status, body["stage"]) == (200, "done" if job in done else "aborted"), (controller, job)
         if job in done:
             assert body["done"] == done[job].spec.tasks
     open_jobs = recorded_jobs("open")
@@ -218,7 +218,7 @@
 
 
 class NotingNetwork(SimulatedNetwork):
-    """Keeps the sibling messages that were sent, as bytes, and the values that were written to each key."""
+    """Keeps the peer messages that were sent, as bytes, and the values that were written to each key."""
 
     def __init__(self, *args, **named):
         self.sent_messages = []
@@ -319,7 +319,7 @@
 @pytest.mark.parametrize("stage", ["done", "aborted"])
 def test_a_job_that_production_ended_is_over_at_every_controller(stage):
     """Production drops the fields that it does not know when it ends a job."""
-    deployment = recorded_deployment(3, nodes=(0, 1, 2))
+    deployment = recorded_deployment(3, controllers=(0, 1, 2))
     deployment.run(seconds(4))
     body = production_job(deployment, 501)
     key = production.job_key(body["ref"])
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -11,7 +11,7 @@
 from tests.stored_tasks import Attempts, StoredTasks
 from tests.waiting import settle
 
-# The node that leads at the recorded moment.
+# The controller that leads at the recorded moment.
 OLD_LEADER = 1
 ACCEPTED_BY_PRODUCTION = 600
 
@@ -34,7 +34,7 @@
 
 
 def lead_as_production(deployment, writer):
-    """What its leader and its users' nodes still write."""
+    """What its leader and its users' controllers still write."""
     number = ACCEPTED_BY_PRODUCTION + int(deployment.clock.now().total_seconds() * 10) % 100
     body = description(f"job-{number:06d}", {"threads": 2, "mem_gb": 0.1, "awaits": None, "run_s": 2.0})
     deployment.jobs.descriptions[body["ref"]] = body
@@ -81,9 +81,10 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_placed_tasks_outlive_the_roll(seed):
-    """Machines stay with their tasks: other nodes renew their leases, and the new leader knows the tasks."""
+    """Machines stay with their tasks: other controllers renew their leases, and the new leader knows the
+    tasks."""
     deployment, writer = begin_upgrade(510 + seed)
-    # No node without the leader renews the lease of a machine that may have tasks of a cancelled job.
+    # No controller without the leader renews the lease of a machine that may have tasks of a cancelled job.
     cancelled = {
         placement.machine
         for entry in read_store().under(production.TASKS)
@@ -125,7 +126,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_process_that_dies_before_its_turn_leaves_its_lease(seed):
-    """The old leader ends without coming back at once: a new node leads once its lease has run out."""
+    """The old leader ends without coming back at once: a new controller leads once its lease has run out."""
     deployment, writer = begin_upgrade(530 + seed)
     deployment.run(seconds(6))
     writer.end()
--- a/tests/test_simulated_deployment.py
+++ b/tests/test_simulated_deployment.py
@@ -1,4 +1,4 @@
-"""The whole service under generated troubles: every rule of the protocol, whatever fails."""
+"""The whole service under generated faults: every rule of the protocol, whatever fails."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -54,7 +54,7 @@
         deployment.clock.later(seconds(1.3), poll)
 
     poll()
-    # The latest trouble has begun by then; what they leave behind is told by the deployment.
+    # The latest fault has begun by then; what they leave behind is told by the deployment.
     deployment.run(seconds(24))
     deployment.run(max(seconds(46), deployment.fault_window.ends_at + seconds(40) - deployment.clock.now()))
     if any(
@@ -73,7 +73,7 @@
 
 
 def answered_everywhere(deployment, jobs):
-    """Which of the jobs each node answers, asked straight."""
+    """Which of the jobs each controller answers, asked straight."""
     got = {(name, job): 0 for name in deployment.controllers for job in jobs}
     for name, job in got:
 
@@ -88,13 +88,13 @@
 
 
 def test_every_job_stays_known_though_history_is_lost_and_all_controllers_restart():
-    """As many jobs as a day may have; the watch's history is gone, so everything must be read anew, and the
-    store refuses whoever asks too often. Each job is asked for by itself, at each node."""
+    """As many jobs as a day may have; the watch's history is gone, so everything must be read anew, and
+    the store refuses whoever asks too often. Each job is asked for by itself, at each controller."""
     deployment = SimulatedDeployment(21)
     deployment.run(seconds(3))
     jobs = [deployment.users.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150)]
     deployment.run(seconds(8))
-    # One node misses more than the store remembers.
+    # One controller misses more than the store remembers.
     deployment.state.max_log_entries = 5
     deployment.network.refused_by_store.add("node-1")
     jobs += [deployment.users.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150, 300)]
@@ -136,7 +136,7 @@
     deployment, machine, leader = busy_deployment(23)
     near = (leader + 1) % 3
     worker = deployment.workers[machine.partition(":")[0]]
-    # The node tells by a worker from another zone that it is cut off alone.
+    # The controller tells by a worker from another zone that it is cut off alone.
     other = "a" if deployment.controllers[deployment.controller_names[near]]._platform.zone == "b" else "b"
     worker.machine.zone = other
     worker.controller_index = near
@@ -150,8 +150,8 @@
 
 
 def test_a_copy_of_a_start_after_a_cancellation_starts_nothing():
-    """A start that went straight to a machine and was carried out may come once more, minutes later. Had the
-    attempt been cleared in between, the worker would run it again."""
+    """A start that went straight to a machine and was carried out may come once more, minutes later. Had
+    the attempt been cleared in between, the worker would run it again."""
     deployment, machine, leader = busy_deployment(24)
     worker = deployment.workers[machine.partition(":")[0]]
     ((task, attempt),) = worker.tasks
@@ -208,8 +208,8 @@
     deployment.faults.freeze(leader, seconds(20))
     deployment.run(seconds(19))
     assert any(
-        node.is_leader
-        for name, node in deployment.controllers.items()
+        controller.is_leader
+        for name, controller in deployment.controllers.items()
         if name != deployment.controller_names[leader]
     )
     assert not deployment.executions.completed
@@ -218,7 +218,7 @@
 
 
 def test_a_leader_that_cannot_reach_machines_steps_down():
-    """Their reports come by way of its siblings, but no order reaches them. It took them all for deaf, and
+    """Their reports come by way of its peers, but no order reaches them. It took them all for deaf, and
     nothing was placed for as long as that lasted."""
     deployment = SimulatedDeployment(15, capacity=8)
     deployment.run(seconds(3))
@@ -238,7 +238,8 @@
 
 
 def test_machines_of_controllers_that_cannot_reach_the_leader_are_used():
-    """The links between nodes are refused, and only the store tells the leader that those machines live."""
+    """The links between controllers are refused, and only the store tells the leader that those machines
+    live."""
     deployment = SimulatedDeployment(16, capacity=8)
     deployment.run(seconds(3))
     deployment.users.submit(1, threads=4, vcpus=5.0, run_s=1.0)
@@ -257,7 +258,7 @@
 
 
 def test_a_task_behind_a_cut_with_one_controller_runs_on():
-    """That node cannot reach the leader; it renews the lease itself and vouches through the store."""
+    """That controller cannot reach the leader; it renews the lease itself and vouches through the store."""
     deployment, machine, leader = busy_deployment(12)
     near = deployment.controller_names[(leader + 1) % 3]
     others = [name for name in deployment.controller_names if name != near]
@@ -303,8 +304,8 @@
 
 
 def test_a_cancellation_ends_work_behind_a_cut_in_time():
-    """The node beside the task is cut off from the store as well and cannot know of the abort; its renewals
-    must end early enough for the lease to run out within `cancel_s`."""
+    """The controller beside the task is cut off from the store as well and cannot know of the abort; its
+    renewals must end early enough for the lease to run out within `cancel_s`."""
     deployment, machine, leader = busy_deployment(14)
     near = deployment.controller_names[(leader + 1) % 3]
     others = [name for name in deployment.controller_names if name != near]
--- a/tests/test_smaller_values.py
+++ b/tests/test_smaller_values.py
@@ -23,7 +23,7 @@
 
 
 def test_an_isolated_controller_reports_lease_renewals_in_as_many_values_as_it_takes():
-    """All machines report to a node that reaches the store but not the leader."""
+    """All machines report to a controller that reaches the store but not the leader."""
     fleet = DeploymentConfig(capacity=MANY, teams=ONE_TEAM, next_limits=SMALL)
     deployment = SimulatedDeployment(51, config=fleet)
     deployment.cloud.boot_failure_probability = 0.0
--- a/tests/test_whole_fleet.py
+++ b/tests/test_whole_fleet.py
@@ -13,7 +13,7 @@
 
 MACHINES = 240
 TEAMS = tuple({"name": name, "cpus": 300.0, "cpus_max": 900.0} for name in ("red", "blue", "green"))
-# Sockets for every worker at one node, and hardly more.
+# Sockets for every worker at one controller, and hardly more.
 FLEET = DeploymentConfig(
     capacity=MACHINES,
     report=seconds(2.5),
@@ -70,7 +70,9 @@
 
     def cut_zone(self) -> None:
         deployment = self.deployment
-        inside = [name for name, node in deployment.controllers.items() if node._platform.zone == "b"]
+        inside = [
+            name for name, controller in deployment.controllers.items() if controller._platform.zone == "b"
+        ]
         outside = [name for name in deployment.controllers if name not in inside]
         length = LAST_TROUBLE - deployment.clock.now()
         machines = [w.machine.address for w in deployment.workers.values() if w.machine.zone == "b"]
@@ -110,7 +112,7 @@
         for job in day.jobs
     ]
     assert max(waits) < seconds(240)
-    # Most workers came to one node while the others were away, and it had something to say to each.
+    # Most workers came to one controller while the others were away, and it had something to say to each.
     assert MACHINES // 2 < deployment.connections.most_open <= FLEET.sockets
     assert deployment.executions.started > 2000
 
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -17,7 +17,7 @@
 
 def settle(deployment: SimulatedDeployment, span_s: float, after_troubles: bool = False) -> None:
     """Runs until users know of all jobs that they are over, and fails if that takes longer, counted from now
-    or, with `after_troubles`, from the end of the latest trouble if that is still to come."""
+    or, with `after_troubles`, from the end of the latest fault if that is still to come."""
     begin = (
         max(deployment.clock.now(), deployment.fault_window.ends_at)
         if after_troubles
--- a/tests/workloads.py
+++ b/tests/workloads.py
@@ -75,7 +75,7 @@
 
 
 def stages_everywhere(deployment, job):
-    """What each node answers for the job, asked straight."""
+    """What each controller answers for the job, asked straight."""
     got = {}
     for name in deployment.controllers:
 
