--- a/spindleglade/backfill/planning_state.py
+++ b/spindleglade/backfill/planning_state.py
@@ -70,12 +70,7 @@
     def eligible_machines(self, job: JobView) -> Mask:
         """The machines that tasks of the job may be placed on, whether they fit or not."""
         columns = self.columns
-        mask = np.ones(len(self.machines), bool)
-        if job.types is not None:
-            mask[:] = False
-            for name in job.types:
-                if name in columns.types:
-                    mask |= columns.types[name]
+        mask = self._machines_of_types(job.types)
         if job.zone is not None:
             mask &= columns.zones.get(job.zone, False)
         if not job.spot:
@@ -89,6 +84,16 @@
                 mask[columns.rows[name]] = False
         return mask
 
+    def _machines_of_types(self, types: frozenset[str] | None) -> Mask:
+        """The machines of these types, or all machines for None."""
+        if types is None:
+            return np.ones(len(self.machines), bool)
+        mask: Mask = np.zeros(len(self.machines), bool)
+        for name in types:
+            if name in self.columns.types:
+                mask |= self.columns.types[name]
+        return mask
+
     def _is_zone_eligible(self, job: JobView, zone: str) -> bool:
         """Whether a task more in this zone keeps the job in one zone, or spread over several."""
         in_other_zones = any(count and other != zone for other, count in job.tasks_by_zone.items())
--- a/spindleglade/leadership/peer_connection.py
+++ b/spindleglade/leadership/peer_connection.py
@@ -90,7 +90,7 @@
             started_at = self._clock.now()
             try:
                 await self._connect(host, port)
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001  (whatever failed, the peer is tried again)
                 self._on_connect_failed(error)
                 await sleep(self._clock, self._heartbeat_interval)
                 continue
--- a/spindleglade/runtime/periodic_task.py
+++ b/spindleglade/runtime/periodic_task.py
@@ -77,7 +77,7 @@
             try:
                 await self._run_pass()
                 self._failures = 0
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001  (a task survives whatever fails in one pass)
                 self._on_pass_failed(error)
             self._pass_started_at = None
             if self._stopped:
--- a/spindleglade/runtime/test_periodic_task.py
+++ b/spindleglade/runtime/test_periodic_task.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    "duration, stalled", [(MAX_PASS_DURATION - seconds(1), False), (seconds(1000), True)]
+    ("duration", "stalled"), [(MAX_PASS_DURATION - seconds(1), False), (seconds(1000), True)]
 )
 def test_a_loop_with_a_pass_that_does_not_return_has_stalled(duration, stalled):
     passes = CountedPasses(lambda number: sleep(passes.clock, duration), waits_first=True)
--- a/spindleglade/workers/test_failure_tracker.py
+++ b/spindleglade/workers/test_failure_tracker.py
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize(
-    "attempt_counts, placed, done, fields",
+    ("attempt_counts", "placed", "done", "fields"),
     [
         ([1, 1, 1, 1], {}, [], {}),
         ([3, 3, 3, 3], {}, [], {}),
--- a/spindleglade/workers/test_reasons.py
+++ b/spindleglade/workers/test_reasons.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, reason",
+    ("change", "reason"),
     [
         (changed(), None),
         (changed(acknowledged_token=False), MachineUnusableReason.TOKEN_NOT_ACKNOWLEDGED),
--- a/tests/test_combined_faults_of_store.py
+++ b/tests/test_combined_faults_of_store.py
@@ -14,7 +14,9 @@
 # Store.
 
 
-@pytest.mark.parametrize("seed, at_end", [*((seed, 0.0) for seed in range(6)), (0, 0.6), (2, 0.6), (4, 0.6)])
+@pytest.mark.parametrize(
+    ("seed", "at_end"), [*((seed, 0.0) for seed in range(6)), (0, 0.6), (2, 0.6), (4, 0.6)]
+)
 @pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
 def test_transactions_without_an_answer(seed, at_end, which):
     """Carried out late, after newer ones of the same controller, or at once with only the answer lost
--- a/tests/test_pipeline_cancellations.py
+++ b/tests/test_pipeline_cancellations.py
@@ -175,7 +175,7 @@
     run_until(deployment, lambda: pipeline.job(0) in deployment.jobs.cancelled_at, 5)
     changes = deployment.state.changes
     pipelines.settle()
-    assert set(deployment.jobs.observed_states[job] for job in pipeline.jobs) == {"aborted"}
+    assert {deployment.jobs.observed_states[job] for job in pipeline.jobs} == {"aborted"}
     # Nothing is written for those after it: the cancellation is derived.
     assert deployment.state.changes - changes < 30
     assert set(deployment.jobs.observed_states.values()) <= set(OVER)
