--- a/spindleglade/submissions/dependencies.py
+++ b/spindleglade/submissions/dependencies.py
@@ -54,7 +54,7 @@
         """All jobs that wait for others, or that others wait for."""
         return self._unfinished.keys() | self._dependents.keys()
 
-    def hold(self, job: str) -> None:
+    def add_incomplete(self, job: str) -> None:
         """Keeps an open job unreleased until its dependencies are added."""
         self._unfinished.setdefault(job, set())
 
--- a/spindleglade/submissions/views.py
+++ b/spindleglade/submissions/views.py
@@ -143,7 +143,7 @@
         if record.state != JobState.OPEN or not record.has_dependencies:
             return
         if not self.dependency_lists.is_complete(record):
-            self.graph.hold(job)
+            self.graph.add_incomplete(job)
             return
         self._notify(self.graph.add(job, self.dependency_lists.dependencies(record)))
 
