--- a/spindleglade/backfill/test_distributions.py
+++ b/spindleglade/backfill/test_distributions.py
@@ -53,9 +53,12 @@
     predictor = Predictor(Bins(seconds(1), 1.8), 10, 100)
     for run in runs:
         predictor.add("u", seconds(run))
-    ends, weights = predictor.remaining_of_tasks(["t", "u"], np.array(tasks, float))
-    for row, (team, estimate, elapsed) in enumerate(tasks):
-        expected = predictor.remaining(["t", "u"][team], seconds(estimate), seconds(elapsed))
+    # Times are whole microseconds in the planner's rows too, which are made of the same `timedelta`s.
+    timed = [(team, seconds(estimate), seconds(elapsed)) for team, estimate, elapsed in tasks]
+    rows = [(team, estimate.total_seconds(), elapsed.total_seconds()) for team, estimate, elapsed in timed]
+    ends, weights = predictor.remaining_of_tasks(["t", "u"], np.array(rows, float))
+    for row, (team, estimate, elapsed) in enumerate(timed):
+        expected = predictor.remaining(["t", "u"][team], estimate, elapsed)
         some = weights[row] > 0
         assert np.allclose(ends[row][some], expected[0][expected[1] > 0], atol=1e-4)
         assert np.allclose(weights[row][some], expected[1][expected[1] > 0], atol=1e-4)
