--- a/spindleglade/fleet/termination.py
+++ b/spindleglade/fleet/termination.py
@@ -28,12 +28,12 @@
 
     IDLE = "idle"
     SILENT = "silent"
-    SILENT_AND_UNANSWERED = "silent and does not answer"
-    UNREACHABLE = "does not hear"
-    QUARANTINED = "faulty"
+    SILENT_AND_UNANSWERED = "silent and probe unanswered"
+    UNREACHABLE = "unreachable"
+    QUARANTINED = "quarantined"
     # A start of a cancelled job may still arrive there, and nothing else can prevent that it runs.
-    UNACKNOWLEDGED_START = "unsure start of an aborted job"
-    BOOT_TIMEOUT = "boots too long"
+    UNACKNOWLEDGED_START = "unacknowledged start of a cancelled job"
+    BOOT_TIMEOUT = "boot timeout"
     FAILED = "failed"
 
 
--- a/spindleglade/workers/reasons.py
+++ b/spindleglade/workers/reasons.py
@@ -8,15 +8,15 @@
 class MachineUnusableReason(StrEnum):
     """Why nothing may be started on a machine."""
 
-    TOKEN_NOT_ACKNOWLEDGED = "token not shown"
-    TERMINATION_ANNOUNCED = "leaves"
-    UNREACHABLE = "does not receive"
-    QUARANTINED = "faulty"
-    TERMINATING = "being released"
+    TOKEN_NOT_ACKNOWLEDGED = "token not acknowledged"
+    TERMINATION_ANNOUNCED = "termination announced"
+    UNREACHABLE = "unreachable"
+    QUARANTINED = "quarantined"
+    TERMINATING = "terminating"
     TYPE_UNKNOWN = "type unknown"
     SILENT = "silent"
     LEASE_NOT_RENEWED = "lease not renewed"
-    REFUSED_START = "refused a start"
+    REFUSED_START = "start rejected"
 
 
 class PendingReason(StrEnum):
@@ -25,7 +25,7 @@
     DEPENDENCIES = "dependencies"
     PAUSED = "paused after failures"
     TEAM_LIMIT = "team at its limit"
-    NO_CAPACITY = "no room"
+    NO_CAPACITY = "no capacity"
 
 
 @dataclass(frozen=True)
