--- /dev/null
+++ b/tests/test_readability.py
@@ -0,0 +1,169 @@
+"""Keeps the code readable by rule: imports go downwards, names are the field's terms, pages are true."""
+
+import ast
+import re
+from collections.abc import Iterator
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).resolve().parent.parent
+PACKAGE = ROOT / "spindleglade"
+
+# What each package may import. `controller` binds all of them, and only the command line imports it.
+BASE = {"runtime", "settings", "http"}
+ALLOWED_IMPORTS: dict[str, set[str]] = {
+    "runtime": set(),
+    "settings": set(),
+    "http": {"runtime"},
+    "backfill": {"settings"},
+    "store": BASE,
+    "submissions": BASE | {"store"},
+    "leadership": BASE | {"store", "submissions"},
+    "workers": BASE | {"store", "submissions", "leadership", "backfill"},
+    "fleet": BASE | {"store", "submissions", "workers", "backfill"},
+    "controller": BASE | {"store", "submissions", "leadership", "workers", "fleet", "backfill"},
+    "cli": {"settings", "controller"},
+}
+
+# Words of the wire and of the earlier house style. Whoever decodes a message maps them to the field's terms.
+WIRE_WORDS = ("baton", "bobbin", "crew", "glade", "glades", "knot", "reckon", "scatter", "spin", "spindle")
+STORE_WORDS = ("hold", "tally", "turn", "turns", "weave", "windfall")
+HOUSE_WORDS = ("assignment", "assignments", "condemned", "deaf", "greet", "hungry", "mute", "orders", "owed")
+MORE_HOUSE_WORDS = ("sibling", "siblings", "solitude", "standstill", "stray", "strays", "vouch", "vouched")
+THEMED_WORDS = frozenset((*WIRE_WORDS, *STORE_WORDS, *HOUSE_WORDS, *MORE_HOUSE_WORDS))
+# As a noun these are of the wire; `mark_changed` is plain English.
+THEMED_LAST_WORDS = frozenset({"mark", "marks"})
+# Fields of the operators' settings keep the names of their page.
+EDGE_MODULES = frozenset({"settings/operator.py"})
+
+PAGES = sorted([ROOT / "README.md", ROOT / "CONTRIBUTING.md", *(ROOT / "docs").glob("*.md")])
+# Pages that tell of earlier versions, with the names of then.
+HISTORICAL_PAGES = frozenset({"results.md"})
+MAX_MODULE_LINES = 300
+MAX_TEST_MODULE_LINES = 400
+
+
+def modules() -> list[Path]:
+    """The modules of the package, tests aside."""
+    return sorted(path for path in PACKAGE.rglob("*.py") if not path.name.startswith("test_"))
+
+
+def test_modules() -> list[Path]:
+    """All modules of tests and their support."""
+    return sorted([*PACKAGE.rglob("test_*.py"), *(ROOT / "tests").rglob("*.py")])
+
+
+test_modules.__test__ = False  # type: ignore[attr-defined]
+
+
+def relative(path: Path) -> str:
+    return str(path.relative_to(PACKAGE if PACKAGE in path.parents else ROOT))
+
+
+@cache
+def syntax_tree(path: Path) -> ast.Module:
+    return ast.parse(path.read_text(encoding="utf-8"))
+
+
+def package_of(path: Path) -> str:
+    """The package below the top one that a module belongs to, or its own name at the top."""
+    return path.relative_to(PACKAGE).parts[0].removesuffix(".py")
+
+
+def imported_packages(path: Path) -> set[str]:
+    """The packages below the top one that a module imports, wherever in it."""
+    names: set[str] = set()
+    for node in ast.walk(syntax_tree(path)):
+        if isinstance(node, ast.ImportFrom) and node.module is not None:
+            names.add(node.module)
+        elif isinstance(node, ast.Import):
+            names.update(alias.name for alias in node.names)
+    parts = [name.split(".") for name in names]
+    return {part[1] for part in parts if part[0] == PACKAGE.name and len(part) > 1}
+
+
+@pytest.mark.parametrize("path", modules(), ids=relative)
+def test_imports_go_downwards_only(path: Path) -> None:
+    package = package_of(path)
+    if package == "__init__":
+        return
+    assert imported_packages(path) <= ALLOWED_IMPORTS[package] | {package}
+
+
+def identifiers(tree: ast.Module) -> Iterator[str]:
+    """All names that a module defines or uses."""
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Name):
+            yield node.id
+        elif isinstance(node, ast.Attribute):
+            yield node.attr
+        elif isinstance(node, (ast.FunctionDef, ast.AsyncFunctionDef, ast.ClassDef)):
+            yield node.name
+        elif isinstance(node, (ast.arg, ast.keyword)) and node.arg is not None:
+            yield node.arg
+
+
+def words(identifier: str) -> list[str]:
+    """The words that an identifier is made of, in lower case."""
+    return [word.lower() for word in re.findall(r"[A-Z]+(?![a-z])|[A-Z]?[a-z]+", identifier)]
+
+
+def is_themed(identifier: str) -> bool:
+    parts = words(identifier)
+    return not THEMED_WORDS.isdisjoint(parts) or not THEMED_LAST_WORDS.isdisjoint(parts[-1:])
+
+
+def themed_identifiers(tree: ast.Module) -> set[str]:
+    """The identifiers of a module that use a themed word."""
+    return set(filter(is_themed, identifiers(tree)))
+
+
+@pytest.mark.parametrize("path", modules(), ids=relative)
+def test_identifiers_use_the_terms_of_the_field(path: Path) -> None:
+    if relative(path) in EDGE_MODULES:
+        return
+    assert not themed_identifiers(syntax_tree(path))
+
+
+def test_themed_words_are_found_within_identifiers() -> None:
+    tree = ast.parse("def vouchFor(self): self.mark_changed = job_mark; call(tally=1)")
+    assert themed_identifiers(tree) == {"vouchFor", "job_mark", "tally"}
+
+
+@cache
+def test_names() -> frozenset[str]:
+    """The names of all test functions, test classes, and classes of generated stories."""
+    found: set[str] = set()
+    for path in test_modules():
+        for node in ast.walk(syntax_tree(path)):
+            if isinstance(node, (ast.FunctionDef, ast.AsyncFunctionDef, ast.ClassDef)):
+                found.add(node.name)
+    return frozenset(found)
+
+
+test_names.__test__ = False  # type: ignore[attr-defined]
+
+
+def file_names() -> set[str]:
+    """The last parts of all files' names that a page may speak of."""
+    return {path.name for path in ROOT.rglob("*") if ".git" not in path.parts and "target" not in path.parts}
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
+def test_pages_name_only_tests_that_exist(page: Path) -> None:
+    if page.name in HISTORICAL_PAGES:
+        return
+    named = set(re.findall(r"`(test_\w+)`", page.read_text(encoding="utf-8")))
+    assert named <= test_names(), sorted(named - test_names())
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
+def test_pages_name_only_files_that_exist(page: Path) -> None:
+    if page.name in HISTORICAL_PAGES:
+        return
+    named = set(
+        re.findall(r"`(?:[\w./-]*/)?([\w-]+\.(?:py|md|toml|json))`", page.read_text(encoding="utf-8"))
+    )
+    assert named <= file_names(), sorted(named - file_names())
