--- a/tests/test_combined_faults_of_placement.py
+++ b/tests/test_combined_faults_of_placement.py
@@ -1,7 +1,7 @@
 """Two faults at once, and where and when tasks run then: limits, zones, held commands, and load.
 
 SimulatedDeployment.run checks every rule all the time; `settle` asks at the end that all is served again. The
-table in docs/combined-faults.md says which test brings about which combination, and which guard was seen to hold it.
+table in docs/combined-faults.md says which test brings about which combination, and which guard holds it.
 """
 
 import pytest
--- a/tests/test_pipeline_combined_faults.py
+++ b/tests/test_pipeline_combined_faults.py
@@ -1,4 +1,4 @@
-"""Two faults at once, with jobs that need each other in the middle of them: docs/combined-faults.md lists them.
+"""Two faults at once, with dependent jobs in the middle of them: docs/combined-faults.md lists them.
 SimulatedDeployment.run checks the rules of chained jobs at every moment, and that nobody is left waiting or
 forgotten."""
 
