--- a/spindleglade/controller/planning_loop.py
+++ b/spindleglade/controller/planning_loop.py
@@ -6,12 +6,11 @@
 from datetime import timedelta
 from typing import Any
 
-from twisted.internet.defer import Deferred
-
 from spindleglade.backfill.plan import Plan
 from spindleglade.backfill.planner import Planner
 from spindleglade.runtime.clock import ZERO, Clock, sleep
 from spindleglade.runtime.periodic_task import PeriodicTask
+from spindleglade.runtime.wakeup import Wakeup
 from spindleglade.workers.cluster_state import ClusterState
 
 log = logging.getLogger("spindleglade.backfill")
@@ -45,7 +44,7 @@
         self._min_interval = min_interval
         self._on_planned = on_planned
         self._change_pending = True
-        self._wakeup: Deferred[None] | None = None
+        self._wakeup = Wakeup()
         self._stopped = False
         self._loop = PeriodicTask(clock, "planning", self._plan_once, self._until_next)
         # When the latest pass began.
@@ -69,9 +68,7 @@
     def wake(self) -> None:
         """The cluster state has changed, so another pass is due."""
         self._change_pending = True
-        if self._wakeup is not None:
-            wakeup, self._wakeup = self._wakeup, None
-            wakeup.callback(None)
+        self._wakeup.wake()
 
     async def _until_next(self) -> None:
         # A pass takes long with a long queue and on a slow or busy processor, where heartbeats and leases
@@ -79,8 +76,7 @@
         pass_duration = self._clock.now() - self._pass_started_at
         await sleep(self._clock, max(self._min_interval, pass_duration * PAUSE_PER_PASS))
         if not self._change_pending:
-            self._wakeup = Deferred()
-            await self._wakeup
+            await self._wakeup.wait()
 
     async def _plan_once(self) -> None:
         self._change_pending = False
--- a/spindleglade/leadership/peer_connection.py
+++ b/spindleglade/leadership/peer_connection.py
@@ -8,7 +8,6 @@
 from datetime import timedelta
 from typing import Any
 
-from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory
 
@@ -24,6 +23,7 @@
 from spindleglade.leadership.peer_transport import PeerProtocol, PendingRequests
 from spindleglade.runtime.background import run_forever
 from spindleglade.runtime.clock import ZERO, Clock, sleep
+from spindleglade.runtime.wakeup import Wakeup
 from spindleglade.settings.platform import Peer, split_address
 
 log = logging.getLogger("spindleglade.leadership")
@@ -46,7 +46,7 @@
         self._connection: PeerProtocol | None = None
         self._failure_detector = PeerFailureDetector(clock, heartbeat_interval)
         self._pending_requests = PendingRequests(clock, peer.name)
-        self._waker: Deferred[None] | None = None
+        self._wakeup = Wakeup()
         self.peer = peer
         self.last_heartbeat: PeerHeartbeat | None = None
 
@@ -127,16 +127,11 @@
 
     async def _wait_for_next_heartbeat(self) -> None:
         """Waits until the next heartbeat is due or the connection is lost."""
-        self._waker = Deferred()
-        timer = self._clock.later(self._heartbeat_interval, self._wake)
-        await self._waker
+        timer = self._clock.later(self._heartbeat_interval, self._wakeup.wake)
+        await self._wakeup.wait()
         if timer.active():
             timer.cancel()
 
-    def _wake(self) -> None:
-        if self._waker is not None and not self._waker.called:
-            self._waker.callback(None)
-
     def _on_protocol_closed(self, connection: PeerProtocol) -> None:
         # A connection that this end has closed is not the present one any more.
         if connection is self._connection:
@@ -150,7 +145,7 @@
         log.info("peer disconnected peer=%s", self.peer.name)
         self._connection = None
         self._pending_requests.fail_all("the connection was lost")
-        self._wake()
+        self._wakeup.wake()
 
     def _on_message(self, connection: PeerProtocol, message: Message) -> None:
         if connection is not self._connection:
--- /dev/null
+++ b/spindleglade/runtime/test_wakeup.py
@@ -0,0 +1,30 @@
+"""Waiting until woken."""
+
+from twisted.internet.defer import ensureDeferred
+
+from spindleglade.runtime.wakeup import Wakeup
+
+
+def waiting(wakeup):
+    """Begins to wait; the list holds an entry once the wait has ended."""
+    ended = []
+    ensureDeferred(wakeup.wait()).addCallback(lambda _: ended.append(True))
+    return ended
+
+
+def test_a_wait_ends_when_it_is_woken_and_not_before():
+    wakeup = Wakeup()
+    ended = waiting(wakeup)
+    assert not ended
+    wakeup.wake()
+    assert ended
+
+
+def test_a_wake_without_a_wait_is_not_remembered():
+    wakeup = Wakeup()
+    wakeup.wake()
+    ended = waiting(wakeup)
+    assert not ended
+    wakeup.wake()
+    wakeup.wake()
+    assert ended == [True]
--- a/spindleglade/workers/state_writer.py
+++ b/spindleglade/workers/state_writer.py
@@ -10,11 +10,11 @@
 from datetime import timedelta
 
 import msgspec
-from twisted.internet.defer import Deferred
 
 from spindleglade.leadership.term import LEADER, Term
 from spindleglade.runtime.clock import ZERO, Clock, seconds, sleep
 from spindleglade.runtime.periodic_task import PeriodicTask
+from spindleglade.runtime.wakeup import Wakeup
 from spindleglade.store.client import StateClient
 from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError, ValueTooLargeError
 from spindleglade.store.messages import Committed, ConditionFailed, Entry, encode_value
@@ -76,7 +76,7 @@
         self._loop = PeriodicTask(clock, "state_writer", self._write_next, self._until_next)
         # How long the loop waits before it looks for changes again; None: until it is woken.
         self._pause: timedelta | None = ZERO
-        self._wakeup: Deferred[None] | None = None
+        self._wakeup = Wakeup()
 
     def start(self) -> None:
         """Begins to write what has changed."""
@@ -95,14 +95,11 @@
 
     def wake(self) -> None:
         """Looks for changes at once if the writer was waiting for some."""
-        if self._wakeup is not None:
-            wakeup, self._wakeup = self._wakeup, None
-            wakeup.callback(None)
+        self._wakeup.wake()
 
     async def _until_next(self) -> None:
         if self._pause is None:
-            self._wakeup = Deferred()
-            await self._wakeup
+            await self._wakeup.wait()
         elif self._pause:
             await sleep(self._clock, self._pause)
 
