--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -14,6 +14,7 @@
 from spindleglade.controller.peer_requests import PeerRequestHandler, PeerRequestSender
 from spindleglade.fleet.client import CloudClient
 from spindleglade.fleet.machine_types import MachineTypeCatalog
+from spindleglade.http import server
 from spindleglade.http.client import Requester
 from spindleglade.http.concurrency import ConcurrencyLimiter
 from spindleglade.http.server import HttpResponse
@@ -38,7 +39,7 @@
 log = logging.getLogger("spindleglade")
 
 # Where workers send their heartbeats; all other paths are for users.
-HEARTBEAT_PATH = "/v1/report"
+HEARTBEAT_PATH = server.HEARTBEAT_PATH.decode()
 CLOUD_TIMEOUT = seconds(4)
 
 
--- a/spindleglade/fleet/errors.py
+++ b/spindleglade/fleet/errors.py
@@ -4,29 +4,11 @@
 carried out, and `CloudTimeoutError`, it may have been, or may still be.
 """
 
+from spindleglade.http.errors import ServiceRequestError
 
-class CloudError(Exception):
-    """Base of all errors of requests to the cloud.
 
-    Attributes:
-        reason: Why it failed, for people.
-        operation: The request that failed, such as "POST /hosts"; None if unknown.
-        status: The HTTP status that the cloud answered; None if there was no answer.
-    """
-
-    default_reason = "failed"
-
-    def __init__(
-        self, reason: str | None = None, operation: str | None = None, status: int | None = None
-    ) -> None:
-        self.reason = reason or self.default_reason
-        self.operation = operation
-        self.status = status
-        super().__init__(self._message())
-
-    def _message(self) -> str:
-        message = self.reason if self.operation is None else f"{self.operation}: {self.reason}"
-        return message if self.status is None else f"{message} (status {self.status})"
+class CloudError(ServiceRequestError):
+    """Base of all errors of requests to the cloud."""
 
 
 class CloudRequestRejectedError(CloudError):
--- a/spindleglade/http/errors.py
+++ b/spindleglade/http/errors.py
@@ -1,4 +1,4 @@
-"""Errors of outgoing requests: whether the request may have been carried out."""
+"""Errors of outgoing requests, and the base of those that the clients of a service raise."""
 
 
 class NoResponseError(Exception):
@@ -24,3 +24,28 @@
 
 class ConnectionLimitError(NotSentError):
     """This process has no connection to spare, which says nothing about the other side."""
+
+
+class ServiceRequestError(Exception):
+    """Base of the errors that the clients of the state service and of the cloud raise.
+
+    Attributes:
+        reason: Why it failed, for people.
+        operation: The request that failed and what it was about, such as "get sg/leader"; None if unknown.
+        status: The HTTP status that the service answered; None if there was no answer.
+
+    """
+
+    default_reason = "failed"
+
+    def __init__(
+        self, reason: str | None = None, operation: str | None = None, status: int | None = None
+    ) -> None:
+        self.reason = reason or self.default_reason
+        self.operation = operation
+        self.status = status
+        super().__init__(self._message())
+
+    def _message(self) -> str:
+        message = self.reason if self.operation is None else f"{self.operation}: {self.reason}"
+        return message if self.status is None else f"{message} (status {self.status})"
--- a/spindleglade/store/errors.py
+++ b/spindleglade/store/errors.py
@@ -4,30 +4,11 @@
 and `OutcomeUnknownError`, it may have been, or may still be.
 """
 
+from spindleglade.http.errors import ServiceRequestError
 
-class StoreError(Exception):
-    """Base of all errors of this package.
 
-    Attributes:
-        reason: Why it failed, for people.
-        operation: The call that failed and what it was about, such as "get sg/leader"; None if unknown.
-        status: The HTTP status that the state service answered; None if there was no answer.
-
-    """
-
-    default_reason = "failed"
-
-    def __init__(
-        self, reason: str | None = None, operation: str | None = None, status: int | None = None
-    ) -> None:
-        self.reason = reason or self.default_reason
-        self.operation = operation
-        self.status = status
-        super().__init__(self._message())
-
-    def _message(self) -> str:
-        message = self.reason if self.operation is None else f"{self.operation}: {self.reason}"
-        return message if self.status is None else f"{message} (status {self.status})"
+class StoreError(ServiceRequestError):
+    """Base of all errors of this package."""
 
 
 class NotAppliedError(StoreError):
