--- a/spindleglade/workers/__init__.py
+++ b/spindleglade/workers/__init__.py
@@ -1,1 +1,1 @@
-"""The machines and what runs on them: reports, orders, attempts, and their record."""
+"""Machines and the tasks on them: heartbeats, commands, attempts, and their stored state."""
--- a/spindleglade/workers/attempt_outcomes.py
+++ b/spindleglade/workers/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from the states of attempts that heartbeats list, and from their absence."""
+"""Updates the cluster state by the attempts that a heartbeat lists, and by those that it lacks."""
 
 import logging
 from datetime import timedelta
@@ -25,7 +25,7 @@
 
 
 class AttemptOutcomes:
-    """Takes the status of single attempts into the cluster state. Called with the lock held."""
+    """Applies the status of single attempts to the cluster state. Called with the lock held."""
 
     def __init__(self, data: ClusterData, changes: StateChanges) -> None:
         self._data = data
@@ -35,17 +35,17 @@
     def on_attempt_listed(
         self, machine: Machine, attempt: Attempt, status: TaskStatus, now: timedelta
     ) -> None:
-        """The heartbeat lists a placed attempt."""
-        is_first = not attempt.is_confirmed
+        """Applies the listed status of an attempt that is placed on the machine."""
+        is_first_listing = not attempt.is_confirmed
         attempt.is_confirmed = True
-        if is_first and not attempt.is_recovered:
-            # A command of this leader has started it.
+        if is_first_listing and not attempt.is_recovered:
+            # A command of this leader has started it, so commands reach the machine.
             machine.unreachable_since = None
         if not status.is_on_machine:
             self._on_attempt_exited(machine, attempt, status, now)
             return
         if status.state == RUNNING:
-            if attempt.state != RUNNING and not is_first:
+            if attempt.state != RUNNING and not is_first_listing:
                 attempt.running_since = now
             self._add_image(machine, attempt.job)
         attempt.state = status.state
@@ -59,8 +59,8 @@
         elif status.cause == ExitCause.ERROR:
             self._failures.on_task_failed(machine, job, now)
         elif status.cause in (ExitCause.FULL, ExitCause.IN_USE):
-            # The worker counts its capacity otherwise than the leader for the moment; the start is tried
-            # again a little later.
+            # The worker's view of its free capacity differs from the leader's for the moment. Starts are
+            # tried again after a short delay.
             machine.refuses_starts_until = now + self._data.policy.heartbeat_interval * 2
         elif status.cause == ExitCause.UNKNOWN:
             self._failures.pause_job(job, now)
@@ -88,7 +88,7 @@
         job.task_states[attempt.index] = DONE
         job.done += 1
         self._add_image(machine, job)
-        # An attempt that resumed from a saved state shows only a part of the run time.
+        # The duration of an attempt that resumed from a checkpoint is only a part of the run time.
         ran_from_start = attempt.attempt == 1 or job.spec.checkpoint_s == 0
         if attempt.running_since is not None and ran_from_start:
             self._data.predictor.add(job.spec.team, now - attempt.running_since)
@@ -97,14 +97,16 @@
         job.backoff = timedelta(0)
 
     def _stop_other_tasks_of_gang(self, exited: Attempt) -> None:
-        """The others wait for this one in vain; all tasks of the gang start again together."""
+        """Stops the other tasks of the gang, which cannot proceed without the exited one. All of them start
+        again together."""
         job = exited.job
         for attempt in job.placed.values():
             if attempt is not exited and attempt.stop_reason is None:
                 self._changes.stop_attempt(attempt, StopReason.GANG_BROKEN, grace_period_s(job.spec))
 
     def on_attempt_missing(self, machine: Machine, attempt: Attempt, key: AttemptKey) -> None:
-        """The newest heartbeat under this token does not list a placed attempt."""
+        """Handles a placed attempt that the newest heartbeat under this token does not list. If no start of
+        it may be under way, it has ended, provided that it was listed before or is to be stopped."""
         if (
             attempt.starts_in_flight
             or attempt.start_sent_with_sequence is not None
@@ -119,11 +121,12 @@
             self._changes.end_attempt(attempt, EndReason.STOPPED_BEFORE_START)
 
     def on_unexpected_attempt(self, machine: Machine, key: AttemptKey, status: TaskStatus) -> None:
-        """The newest heartbeat under this token lists an attempt that is not placed there."""
+        """Records an attempt that the newest heartbeat under this token lists but that is not placed on the
+        machine."""
         try:
             job_id, index = split_task(status.task)
         except ValueError:
-            log.warning("task name not understood machine=%s task=%r", machine.name, status.task)
+            log.warning("task name malformed machine=%s task=%r", machine.name, status.task)
             return
         if status.is_on_machine:
             machine.unexpected_attempts[key] = status.state
@@ -135,7 +138,7 @@
             and 0 <= index < len(job.task_states)
             and job.task_states[index] == WAITING
         ):
-            # Its work is done all the same, and the result is kept.
+            # The task is done, though by an attempt that is no longer placed, and its result is kept.
             job.task_states[index] = DONE
             job.done += 1
             self._changes.mark_task_changed(job, index)
@@ -144,7 +147,8 @@
             machine.exited[key] = ExitedAttempt(None, 0, 0)
 
     def _add_image(self, machine: Machine, job: Job) -> None:
-        """The job's image is in the machine's cache, and the least recently used ones may have left it."""
+        """Adds the job's image to the machine's cached images, and removes the least recently used images
+        that no longer fit into the cache."""
         images = machine.images
         images[job.spec.image] = job.spec.image_gb
         images.move_to_end(job.spec.image)
--- a/spindleglade/workers/attempts.py
+++ b/spindleglade/workers/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of tasks on machines: why they stop and how they end."""
+"""Attempts of tasks on machines, and the reasons why attempts stop and end."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -10,12 +10,12 @@
 if TYPE_CHECKING:
     from spindleglade.workers.jobs import Job
 
-# A task and the number of its attempt, as workers name them.
+# The name of a task and the number of its attempt, as in the worker protocol.
 AttemptKey = tuple[str, int]
 
 
 class ExitCause(StrEnum):
-    """Why a worker says that an attempt has exited; the values are those on the wire."""
+    """The cause that a worker reports for the exit of an attempt; the values are those on the wire."""
 
     DONE = "done"
     ERROR = "error"
@@ -25,7 +25,7 @@
 
 
 class StopReason(StrEnum):
-    """Why the leader stops an attempt; preemptions name the job that needs the capacity instead."""
+    """Why the leader stops an attempt. The reason of a preemption is built by `preemption_reason`."""
 
     CANCELLED = "aborted"
     GANG_BROKEN = "its group broke up"
@@ -33,7 +33,7 @@
 
 
 class EndReason(StrEnum):
-    """Why an attempt is over without an exit that the worker has shown."""
+    """Why an attempt ended without the worker reporting its exit."""
 
     MACHINE_TERMINATED = "its machine is gone"
     INCARNATION_ENDED = "its session ended"
@@ -43,49 +43,54 @@
     STOPPED_BEFORE_START = "stopped before its start"
 
 
-# Class access to a member of an enumeration is slow in Python 3.11; heartbeats and planning use these.
+# Looked up once: access to a member of an enumeration is slow in Python 3.11, and heartbeats and planning
+# need these for every attempt.
 FETCHING, RUNNING, SAVING = TaskState.FETCHING, TaskState.RUNNING, TaskState.SAVING
 
 
 def preemption_reason(beneficiary: str) -> str:
-    """The stop reason of an attempt that makes room for another job."""
+    """The stop reason of an attempt that is preempted for the job `beneficiary`."""
     return f"room for {beneficiary}"
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a task on a machine, from its placement until it is proven over."""
+    """One attempt of a task on a machine, from its placement until it is proven to have ended."""
 
     job: "Job"
+    # The task's number in the job, and the number of this attempt of the task, from 1.
     index: int
     attempt: int
     machine: str
     incarnation: int
-    # The version of the task range that must be committed before the start may be sent.
+    # The start may be sent once this version of the task range is committed.
     version: int
     placed_at: timedelta
-    # Whether a heartbeat has shown it.
+    # Whether a heartbeat has listed this attempt.
     is_confirmed: bool = False
     state: str = FETCHING
-    # First seen running; None while it fetches its image, or if it ran already when this leader was elected.
+    # When a heartbeat first listed it as running. None while it fetches its image, and if it was running in
+    # the first heartbeat that listed it, for instance because it ran before this leader was elected.
     running_since: timedelta | None = None
-    # Starts sent directly to the machine and not answered yet.
+    # The number of starts that were sent directly to the machine and are not answered yet.
     starts_in_flight: int = 0
-    # Sequence of the heartbeat whose response carried the start, until a later heartbeat shows whether it was
-    # executed; and how often it was not.
+    # The sequence number of the heartbeat whose response carried the start. None if no response has carried
+    # it, and again once a later heartbeat has shown whether the start was executed.
     start_sent_with_sequence: int | None = None
+    # How many starts sent in heartbeat responses were not executed.
     lost_starts: int = 0
-    # Read from the store: whether its start was sent, and by which way, is not known.
+    # Whether the attempt was loaded from the store, so that it is not known if and how its start was sent.
     is_recovered: bool = False
-    # A start of it was sent directly to the machine: a copy of that message may arrive again.
+    # Whether a start was sent directly to the machine; the network may deliver a copy of that message later.
     started_directly: bool = False
-    # It was started because its job was overdue.
+    # Whether its job was overdue when the plan that placed it was applied.
     started_overdue: bool = False
-    # Why it is to stop, and with how much time to save.
+    # Why the attempt is to be stopped (None: it is not), and how long it may then take to save.
     stop_reason: str | None = None
     grace_period_s: float = 0.0
     has_ended: bool = False
 
+    # The name of the task in the worker protocol, set from the job and the index.
     task: str = ""
 
     def __post_init__(self) -> None:
@@ -99,13 +104,16 @@
 
 @dataclass(slots=True, eq=False)
 class ExitedAttempt:
-    """An exited attempt that the worker still lists; forgotten once its end is recorded."""
+    """An exited attempt that the worker still lists, and is told to forget once its end is recorded."""
 
+    # None if the end of the attempt needs no record; `index` and `version` are unused then.
     job: "Job | None"
     index: int
+    # The end is recorded once this version of the task range is committed.
     version: int
-    # Never forgotten in this incarnation: a late copy of its start would run it again, beside a newer attempt
-    # or after its job was cancelled. A copy of one that is done only shows its exit once more.
+    # Whether the worker must not forget the attempt in this incarnation. Once it is forgotten, a late copy of
+    # its start would run it again, beside a newer attempt or after its job was cancelled. If the task is
+    # done, a late copy only makes the worker list the exit once more.
     never_forget: bool = False
 
     @property
--- a/spindleglade/workers/cluster_data.py
+++ b/spindleglade/workers/cluster_data.py
@@ -1,4 +1,4 @@
-"""The data of the leader's cluster state, which its parts share under one lock."""
+"""The data of the leader's cluster state, shared by its parts under one lock."""
 
 import threading
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, eq=False)
 class ClusterData:
-    """Jobs, machines and what is pending for them. Read and changed with the lock held only."""
+    """Jobs, machines, and their pending writes and commands. Read and changed only with the lock held."""
 
     token: int
     policy: WorkerPolicy
@@ -26,29 +26,30 @@
     lock: threading.Lock = field(default_factory=threading.Lock)
     jobs: dict[str, Job] = field(default_factory=dict)
     machines: dict[str, Machine] = field(default_factory=dict)
-    # Machines proven gone; late heartbeats must not bring them back. Never emptied: nothing bounds how late a
-    # heartbeat, or the list of machines, may still name one.
+    # The names of terminated machines, so that late heartbeats do not add them again. Names are never
+    # removed, since there is no limit on how late a heartbeat or a list of machines may still contain one.
     terminated: set[str] = field(default_factory=set)
-    # When a heartbeat last came that was not a late copy, by whichever way.
+    # When the latest heartbeat was received, by either path; late copies do not count.
     last_heartbeat_at: timedelta = field(init=False)
-    # When a task was last placed.
+    # When a task was last placed; before that, the time of the election.
     latest_start: timedelta = field(init=False)
     # Task ranges that differ from what the store holds, the longest pending first.
     pending_writes: dict[TaskRangeId, None] = field(default_factory=dict)
-    # Those of them with a start that waits for its record.
+    # The pending task ranges with a start that is not sent until the range is written.
     pending_start_writes: dict[TaskRangeId, None] = field(default_factory=dict)
-    # Task ranges, and records of done jobs (DONE_RECORD), that the store refused as too large, and the
-    # versions and revisions that it refused: not tried again before they change.
+    # Writes that failed when tried alone, such as those that are too large: the version of a task range, or
+    # the revision of the record of a done job (DONE_RECORD). They are not tried again before they change.
     oversized_writes: dict[TaskRangeId, int] = field(default_factory=dict)
-    # Machines that may have commands to be sent directly, the longest queued first. One that has none leaves
-    # the queue, and is put in again by whatever may change that: its heartbeat, a committed write, an
-    # answered command, a stop. Looking at every machine each time would take a third of the leader's time
-    # after a restart. It is ordered so that the same events lead to the same commands.
+    # The names of machines that may have commands to be sent directly, the longest queued first. A machine
+    # without such commands leaves the queue. Each event that may lead to a command queues it again: its
+    # heartbeat, a committed write, an answered command, a stop. Examining every machine each time would take
+    # a third of the leader's time after a restart. The order makes the same events lead to the same commands.
     dispatch_queue: dict[str, None] = field(default_factory=dict)
+    # Teams for which the predictor has got run times that are not yet stored.
     teams_with_new_runs: set[str] = field(default_factory=set)
-    # Whether work goes to on-demand machines before spot ones, or the other way round.
+    # Whether planning prefers on-demand machines to spot machines, or spot machines to on-demand ones.
     prefers_on_demand: bool = False
-    # Counts changes that planning or the state writer may have to act on.
+    # Incremented with each change that planning or the state writer may have to act on.
     change_count: int = 0
 
     def __post_init__(self) -> None:
@@ -60,7 +61,7 @@
 
 
 class DataField(Generic[Value]):
-    """An attribute that stands for the field of the same name of its owner's cluster data."""
+    """A descriptor that reads and writes the field of the same name in its owner's cluster data."""
 
     def __set_name__(self, owner: type, name: str) -> None:
         self._name = name
--- a/spindleglade/workers/cluster_state.py
+++ b/spindleglade/workers/cluster_state.py
@@ -1,7 +1,8 @@
-"""The leader's cluster state: jobs, tasks and machines, what is recorded, placed and proven over.
+"""The leader's cluster state: jobs, tasks and machines, and which attempts are recorded, placed and ended.
 
-It decides nothing about placement and does no I/O. It takes in records, heartbeats and results, and gives out
-three things: task ranges to write, commands to send, snapshots to plan on.
+The cluster state makes no placement decisions and does no I/O. Its inputs are records, heartbeats and the
+outcomes of writes and messages. Its outputs are task ranges to write, commands to send, and snapshots for
+planning.
 """
 
 import threading
@@ -34,8 +35,11 @@
 
 
 class ClusterState:
-    """The parts of the cluster state as one object. Every method takes the lock for as long as it runs, but
-    for `is_usable`, `unusable_reason` and `is_silent`, whose callers hold it; none calls anything outside."""
+    """The parts of the cluster state as one object.
+
+    Every method holds the lock while it runs, except `is_usable`, `unusable_reason` and `is_silent`, which
+    are called with the lock held. No method calls code outside the cluster state.
+    """
 
     token = DataField[int]()
     policy = DataField[WorkerPolicy]()
@@ -70,7 +74,7 @@
         self._recovery = StateRecovery(data, changes)
         self._write_queue = WriteQueue(data)
         self._planning = PlanningBridge(data, changes, usability)
-        # These objects stay the same for the life of the cluster state; callers hold the lock to use them.
+        # These objects are never replaced, only changed. Callers hold the lock while they use them.
         self.lock: threading.Lock = data.lock
         self.predictor: Predictor = predictor
         self.jobs: dict[str, Job] = data.jobs
@@ -84,31 +88,31 @@
     # Machines.
 
     def on_heartbeat(self, heartbeat: Heartbeat, now: timedelta, renews_lease: bool) -> list[Command] | None:
-        """Takes in a heartbeat; the commands of its response, or None if it must not be answered."""
+        """Applies a heartbeat. Returns the commands for the response, or None if it must not be answered."""
         with self.lock:
             return self._heartbeats.on_heartbeat(heartbeat, now, renews_lease)
 
     def on_machine_terminated(self, name: str, reason: str) -> None:
-        """The cloud has said that the machine and all on it are gone."""
+        """Removes a machine that the cloud reports as terminated, and ends all attempts on it."""
         with self.lock:
             self._machine_registry.on_machine_terminated(name, reason)
 
     def observe_listed_machines(self, locations: Iterable[MachineLocation]) -> None:
-        """The cloud's list of running machines."""
+        """Applies the cloud's list of running machines."""
         with self.lock:
             self._machine_registry.observe_listed_machines(locations)
 
     def on_leases_renewed_by_peer(self, names: Iterable[str], now: timedelta) -> None:
-        """A peer renews these machines' leases."""
+        """Records that a peer renews the leases of these machines."""
         with self.lock:
             self._machine_registry.on_leases_renewed_by_peer(names, now)
 
     def is_silent(self, machine: Machine, now: timedelta, limit: timedelta) -> bool:
-        """Whether nothing has shown for longer than `limit` that the machine lives."""
+        """Whether neither the machine nor a peer has shown for longer than `limit` that the machine lives."""
         return self._machine_registry.is_silent(machine, now, limit)
 
     def take_direct_commands(self, starts: bool = True) -> list[DirectCommands]:
-        """The commands that cannot wait for the next heartbeat; without `starts` no task is started."""
+        """Returns the commands that cannot wait for the next heartbeat; without `starts`, no starts."""
         with self.lock:
             return self._commands.take_direct_commands(starts)
 
@@ -120,24 +124,24 @@
         now: timedelta,
         connected: bool = True,
     ) -> None:
-        """Direct commands were answered or never sent, unless their outcome is unknown."""
+        """Records the outcome of direct commands: answered or never sent, unless `outcome_unknown`."""
         with self.lock:
             self._commands.on_commands_sent(machine, commands, outcome_unknown, now, connected)
 
     def on_machine_reached(self, machine: Machine, now: timedelta) -> None:
-        """A message has reached the machine."""
+        """Records that a message has reached the machine."""
         with self.lock:
             self._commands.on_machine_reached(machine, now)
 
     def reachability(self, now: timedelta) -> MachineReachability:
-        """The machines by the outcome of the latest message sent directly to them."""
+        """Groups the machines with recent heartbeats by the outcome of the latest direct message to them."""
         with self.lock:
             return self._commands.reachability(now)
 
     # Jobs.
 
     def has_begun(self, job_id: str) -> bool:
-        """Whether a task of the job is on a machine, or done."""
+        """Whether any task of the job is placed or done."""
         with self.lock:
             job = self.jobs.get(job_id)
             return job is not None and bool(job.placed or job.done)
@@ -145,66 +149,66 @@
     def observe_job(
         self, record: JobRecord, mod_revision: int, now: timedelta = ZERO, age: timedelta = ZERO
     ) -> None:
-        """A job record, from the first reading or from a later change."""
+        """Applies a job record, loaded after the election or observed as a later change."""
         with self.lock:
             self._job_updates.observe_job(record, mod_revision, now, age)
 
     def cancel_through_dependency(self, job_id: str) -> None:
-        """A dependency of the job is cancelled, and so is the job."""
+        """Cancels a job because a dependency of it is cancelled."""
         with self.lock:
             self._job_updates.cancel_through_dependency(job_id)
 
     def release_job(self, job_id: str, now: timedelta, age: timedelta) -> None:
-        """All dependencies of the job are on record as done, since `age`."""
+        """Lets the tasks of a job start, since all its dependencies were recorded as done `age` ago."""
         with self.lock:
             self._job_updates.release_job(job_id, now, age)
 
     def set_has_dependents(self, job_id: str, has_dependents: bool) -> None:
-        """Whether other jobs wait for this one."""
+        """Sets whether other jobs depend on this one."""
         with self.lock:
             self._job_updates.set_has_dependents(job_id, has_dependents)
 
     def chain_members(self, names: Iterable[str]) -> dict[str, ChainMember]:
-        """Those of the named jobs that are open."""
+        """The pipeline properties of those of the named jobs that are open, by job ID."""
         with self.lock:
             return self._job_updates.chain_members(names)
 
     def set_urgency(self, job_id: str, rank: int, latest_start: timedelta | None) -> None:
-        """What the job takes over from the jobs that need it."""
+        """Sets the rank and the latest start that the job inherits from its dependents."""
         with self.lock:
             self._job_updates.set_urgency(job_id, rank, latest_start)
 
     def on_job_recorded_done(self, job_id: str, mod_revision: int) -> None:
-        """The record says that the job is done."""
+        """Finishes a job that is recorded as done."""
         with self.lock:
             self._job_updates.on_job_recorded_done(job_id, mod_revision)
 
     def forget_job(self, job_id: str) -> None:
-        """All task ranges of a job that is over are removed from the store."""
+        """Removes a job that is over from memory, once its task ranges are removed from the store."""
         with self.lock:
             self._job_updates.forget_job(job_id)
 
-    # Recovery of what is stored.
+    # Recovery of the stored task ranges.
 
     def add_overflow_range(self, job_id: str, first_task: int) -> None:
-        """The store holds an overflow range; all are to be added before any value is loaded."""
+        """Adds an overflow range that the store holds. All of them are added before any range is loaded."""
         with self.lock:
             self._recovery.add_overflow_range(job_id, first_task)
 
     def load_range(self, job_id: str, number: int, record: TaskRangeRecord, now: timedelta) -> None:
-        """Loads a task range, by its number, as a former leader stored it."""
+        """Loads a task range, identified by its number, that a former leader stored."""
         with self.lock:
             self._recovery.load_range(job_id, number, record, now)
 
     def load_overflow_range(
         self, job_id: str, first_task: int, record: TaskRangeRecord, now: timedelta
     ) -> None:
-        """Loads an overflow range, by its first task, as a former leader stored it."""
+        """Loads an overflow range, identified by its first task, that a former leader stored."""
         with self.lock:
             self._recovery.load_overflow_range(job_id, first_task, record, now)
 
     def finish_loading(self) -> None:
-        """All that is stored has been loaded."""
+        """Completes the recovery after all task ranges are loaded, and queues the writes that are due."""
         with self.lock:
             self._recovery.finish_loading()
 
@@ -217,7 +221,7 @@
         max_background_operations: int | None = None,
         max_value_bytes: int | None = None,
     ) -> WriteBatch:
-        """Takes out of the pending writes what one transaction can hold."""
+        """Removes from the pending writes, and returns, as many as fit into one transaction."""
         limits = TransactionLimits(max_operations, max_background_operations, max_value_bytes)
         with self.lock:
             return WriteCollection(
@@ -225,34 +229,34 @@
             ).collect()
 
     def on_range_committed(self, job_id: str, first_task: int, version: int) -> None:
-        """The store holds that version of the task range."""
+        """Records that the store holds this version of the task range."""
         with self.lock:
             self._write_queue.on_range_committed(job_id, first_task, version)
 
     def suspend_oversized_writes(self, batch: WriteBatch) -> None:
-        """What the store refuses as too large though it was tried alone waits until it changes."""
+        """Suspends a write that failed when tried alone, such as one that is too large, until it changes."""
         with self.lock:
             self._write_queue.suspend_oversized(batch)
 
     def requeue(self, batch: WriteBatch) -> None:
-        """Nothing of the batch was committed."""
+        """Queues the writes of a batch again, none of which was committed."""
         with self.lock:
             self._write_queue.requeue(batch)
 
     # Planning.
 
     def set_machine_types(self, machine_types: dict[str, MachineTypeCapacity]) -> None:
-        """The capacities of the machine types are known, or have changed."""
+        """Sets the capacities of the machine types."""
         with self.lock:
             self._planning.set_machine_types(machine_types)
 
     def snapshot(self, now: timedelta) -> Snapshot:
-        """What planning works on."""
+        """Returns the snapshot that a planning pass works on."""
         with self.lock:
             return self._planning.snapshot(now)
 
     def apply_plan(self, plan: Plan, now: timedelta) -> int:
-        """Applies a plan as far as it still holds, and returns the number of placements."""
+        """Applies those parts of a plan that are still valid, and returns the number of placements."""
         with self.lock:
             return self._planning.apply_plan(plan, now)
 
@@ -261,10 +265,10 @@
         return self._usability.unusable_reason(machine, now) is None
 
     def unusable_reason(self, machine: Machine, now: timedelta) -> MachineUnusableReason | None:
-        """Why no task may be started on the machine; None if one may."""
+        """Why no task may be started on the machine; None if tasks may be started."""
         return self._usability.unusable_reason(machine, now)
 
     def scheduling_stall(self, now: timedelta) -> SchedulingStall | None:
-        """What waits and why, for the log; None if no job has waiting tasks."""
+        """Why jobs with waiting tasks have no start, for the log; None if no job has waiting tasks."""
         with self.lock:
             return self._usability.scheduling_stall(now)
--- a/spindleglade/workers/command_dispatcher.py
+++ b/spindleglade/workers/command_dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends commands straight to the machines, so that a start need not wait for the next heartbeat."""
+"""Sends commands directly to the machines, so that a start does not wait for the next heartbeat."""
 
 import logging
 from collections.abc import Callable
@@ -21,29 +21,30 @@
 
 log = logging.getLogger("spindleglade.workers")
 
-# The worker's endpoints.
+# Paths of the worker's HTTP endpoints.
 COMMANDS_PATH = "/orders"
 STATUS_PATH = "/show"
-# Statuses of a worker's response.
+# HTTP statuses of a worker's responses.
 OK, BAD_REQUEST, CONFLICT = 200, 400, 409
-# With these the response carries a heartbeat.
+# Responses with these statuses carry a heartbeat.
 HEARTBEAT_STATUSES = (OK, CONFLICT)
-# With these it is certain what became of the commands: accepted, or rejected as malformed or out of date.
+# With these statuses the outcome is known: the commands were accepted, or rejected as malformed or stale.
 DEFINITE_STATUSES = (OK, BAD_REQUEST, CONFLICT)
-# A machine whose lease has expired since its latest heartbeat is in a later incarnation, and says so.
+# The second attempt is for a machine whose lease has expired since its latest heartbeat: its response to the
+# first attempt names its new incarnation.
 MAX_INTRODUCTION_ATTEMPTS = 2
 
 
 class DeliveryOutcome(Enum):
-    """What became of commands sent straight to a machine."""
+    """The outcome of sending commands directly to a machine."""
 
-    # The machine accepted or rejected them.
+    # The machine accepted or rejected the commands.
     ANSWERED = auto()
-    # No connection was free to send them on; this says nothing about the machine.
+    # This controller had no free connection, which says nothing about the machine's reachability.
     NOT_SENT = auto()
     # No connection to the machine could be opened.
     UNREACHABLE = auto()
-    # They may be carried out, even minutes from now.
+    # No conclusive response came: the machine may still execute the commands, even minutes later.
     UNKNOWN = auto()
 
 
@@ -56,16 +57,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatcherEvents:
-    """Whom a command dispatcher tells of what the machines respond."""
+    """The callbacks that a command dispatcher calls for the machines' responses."""
 
-    # A machine knows of a later leader; called with the reason.
+    # A machine has acknowledged the token of a later leader; called with the reason.
     on_deposed: Callable[[str], None]
-    # The cluster state has changed by a machine's heartbeat.
+    # A heartbeat in a response was applied to the cluster state.
     on_changed: Callable[[], None]
 
 
 class CommandDispatcher:
-    """Sends each machine the commands that cannot wait, one message at a time."""
+    """Sends each machine the commands that cannot wait for its next heartbeat, one message at a time."""
 
     def __init__(
         self,
@@ -76,7 +77,8 @@
         events: DispatcherEvents,
         cancellation_freshness: CancellationFreshness,
     ) -> None:
-        """No task is started while `cancellation_freshness` does not permit it."""
+        """`timeout` applies to each request. Starts are sent only while `cancellation_freshness` permits
+        renewals."""
         self._cluster = cluster
         self._http = http
         self._clock = clock
@@ -86,7 +88,7 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """Sends nothing more, and ignores the heartbeats in responses still to come."""
+        """Stops sending, and ignores the heartbeats in responses that are still outstanding."""
         self._stopped = True
 
     def dispatch(self) -> None:
@@ -99,13 +101,13 @@
             run_in_background(self._send_commands(machine, incarnation, commands), "command dispatch")
 
     def introduce_leader(self, address: str, incarnation: int) -> None:
-        """Tells a machine of the new token and asks which tasks run there. It may not be sent any commands
-        before, and its next heartbeat may be seconds away."""
+        """Sends a machine the new token and requests the list of its tasks. It may not be sent commands
+        before it acknowledges the token, and its next heartbeat may be seconds away."""
         if not self._stopped:
             run_in_background(self._introduce_leader(address, incarnation), "leader introduction")
 
     async def request_status(self, machine: Machine) -> None:
-        """Asks a machine for a heartbeat and applies it. Raises NoResponseError."""
+        """Requests a heartbeat from a machine and applies it. Raises NoResponseError if no response comes."""
         response = await self._http.request("GET", machine.address, STATUS_PATH, None, self._timeout)
         self._cluster.on_machine_reached(machine, self._clock.now())
         self._apply_response(response, machine.address)
@@ -141,7 +143,7 @@
         try:
             response = await self._post_commands(machine.address, body)
         except ConnectionLimitError as error:
-            # Left to the response to its next heartbeat, or sent again.
+            # The commands go out with the response to the machine's next heartbeat, or directly once more.
             log.info("commands not sent machine=%s reason=%s", machine.name, error)
             return Delivery(DeliveryOutcome.NOT_SENT)
         except NotSentError as error:
@@ -153,7 +155,7 @@
             )
             return Delivery(DeliveryOutcome.UNKNOWN)
         except Exception:
-            # Without an outcome the commands would count as in flight for ever, and never be sent again.
+            # Without an outcome the commands would count as in flight forever, and would never be sent again.
             log.exception("sending commands failed machine=%s", machine.name)
             return Delivery(DeliveryOutcome.UNKNOWN)
         definite = response.status in DEFINITE_STATUSES
@@ -166,7 +168,7 @@
         return await self._http.request("POST", address, COMMANDS_PATH, body, self._timeout)
 
     def _apply_response(self, response: ClientResponse, address: str) -> Heartbeat | None:
-        """Applies the heartbeat that a response carries, and returns it; None if there is none to apply."""
+        """Applies and returns the heartbeat in a response; returns None if there is none to apply."""
         if response.status not in HEARTBEAT_STATUSES or self._stopped:
             return None
         try:
--- a/spindleglade/workers/command_selection.py
+++ b/spindleglade/workers/command_selection.py
@@ -1,4 +1,7 @@
-"""Which commands a machine gets, in the response to a heartbeat or directly, and whether they reach it."""
+"""Selects the commands that each machine is sent, and tracks whether they reach it.
+
+Commands are sent in the response to a heartbeat, or directly in a message of their own.
+"""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -10,18 +13,18 @@
 from spindleglade.workers.messages import Command, Operation, split_task
 from spindleglade.workers.state_changes import StateChanges
 
-# Commands in one message: a line may not be longer than 64 KiB, and a task's name may take a hundred bytes.
+# Keeps a message below the limit of 64 KiB per line; a task's name may take 100 bytes.
 MAX_COMMANDS_PER_MESSAGE = 400
 
-# Class access to a member of an enumeration is slow in Python 3.11, and these are used for each attempt.
+# Looked up once: access to a member of an enumeration is slow in Python 3.11, and every attempt needs these.
 _START, _STOP, _FORGET = Operation.START, Operation.STOP, Operation.FORGET
 
-# Commands in one message: a line may not be longer than 64 KiB, and a task's name may take a hundred bytes.
+# Keeps a message below the limit of 64 KiB per line; a task's name may take 100 bytes.
 MAX_COMMANDS_PER_MESSAGE = 400
 
 
 class DirectCommands(NamedTuple):
-    """Commands to send directly to a machine, valid for one incarnation of it."""
+    """Commands to send directly to a machine, valid only in this incarnation of the machine."""
 
     machine: Machine
     incarnation: int
@@ -29,15 +32,16 @@
 
 
 class CommandSelection:
-    """Selects commands and observes what becomes of them. Called with the lock held."""
+    """Selects commands for machines and records whether they were delivered. Called with the lock held."""
 
     def __init__(self, data: ClusterData, changes: StateChanges) -> None:
         self._data = data
         self._changes = changes
 
     def commands_for(self, machine: Machine, sequence: int | None, starts: bool = True) -> list[Command]:
-        """The commands for the machine now. `sequence` is that of the heartbeat being answered, None for a
-        direct message; a start already under way one way is not sent another."""
+        """Returns the commands to send to the machine now, and records their starts as under way. `sequence`
+        is the sequence number of the heartbeat that is answered, or None for a direct message. A start that
+        is already under way, by either path, is not selected again; without `starts` no start is."""
         commands = self._pending_commands(machine)
         if not starts:
             return commands
@@ -55,7 +59,7 @@
         return commands
 
     def _pending_commands(self, machine: Machine) -> list[Command]:
-        """Commands to forget and to stop attempts; what does not fit is sent the next time."""
+        """Commands to forget and to stop attempts. What exceeds one message is selected the next time."""
         commands = self._forget_and_stop_unexpected(machine) if machine.acknowledged_token else []
         for attempt in machine.placed.values():
             if (
@@ -71,7 +75,7 @@
     def _forget_and_stop_unexpected(machine: Machine) -> list[Command]:
         commands: list[Command] = []
         for (task, attempt), exited in machine.exited.items():
-            # Once an attempt is forgotten, a start that arrives late would start the task again.
+            # After the worker forgets an attempt, a start that arrives late would run the task again.
             if (
                 exited.is_recorded
                 and not exited.never_forget
@@ -99,8 +103,9 @@
         )
 
     def take_direct_commands(self, starts: bool) -> list[DirectCommands]:
-        """The commands that cannot wait for the next heartbeat. Without `starts` no task is started: its job
-        may be cancelled by now without this leader's knowledge. Stops do no harm at any time."""
+        """Returns the commands that cannot wait for the next heartbeat, and marks them as in flight. Without
+        `starts` no start is selected, because its job may have been cancelled without this leader's
+        knowledge. Stops are always safe to send."""
         selected = []
         queue = self._data.dispatch_queue
         names = list(queue)
@@ -113,7 +118,7 @@
                 continue
             commands = self.commands_for(machine, None, starts)
             if not starts:
-                # The starts that are withheld are selected once this leader knows enough.
+                # The withheld starts are selected once this leader knows of all cancellations.
                 queue[name] = None
             if commands:
                 machine.command_in_flight, machine.reconciled_tasks = True, None
@@ -146,8 +151,8 @@
         now: timedelta,
         connected: bool,
     ) -> None:
-        """Direct commands were answered or never sent, unless their outcome is unknown; `connected` is false
-        where not even a connection was made."""
+        """Records the outcome of direct commands. They were answered or never sent, unless `outcome_unknown`.
+        `connected` is false if no connection to the machine could be opened."""
         machine.command_in_flight = False
         self._data.dispatch_queue[machine.name] = None
         if outcome_unknown or not connected:
@@ -163,15 +168,15 @@
                 attempt.starts_in_flight = 0
 
     def on_machine_reached(self, machine: Machine, now: timedelta) -> None:
-        """A message has reached the machine: it answered one, or did what one said."""
+        """Records that a message has reached the machine, since it responded."""
         machine.unreachable_since = None
         machine.last_command_answered_at = now
         self._data.dispatch_queue[machine.name] = None
 
     def reachability(self, now: timedelta) -> MachineReachability:
-        """The machines with recent heartbeats, by the outcome of the latest message sent directly to them."""
+        """Groups the machines with recent heartbeats by the outcome of the latest direct message to them."""
         window = self._data.policy.lease / 2
-        found = MachineReachability([], [], [])
+        groups = MachineReachability([], [], [])
         for machine in self._data.machines.values():
             if not machine.address or not self._data.policy.is_recent(machine.last_heartbeat_at, now):
                 continue
@@ -181,9 +186,9 @@
                 and now - unanswered_at <= window
                 and (answered_at is None or answered_at < unanswered_at)
             ):
-                found.unanswered.append(machine)
+                groups.unanswered.append(machine)
             elif answered_at is not None and now - answered_at <= window:
-                found.answered.append(machine)
+                groups.answered.append(machine)
             else:
-                found.untried.append(machine)
-        return found
+                groups.untried.append(machine)
+        return groups
--- a/spindleglade/workers/errors.py
+++ b/spindleglade/workers/errors.py
@@ -2,11 +2,11 @@
 
 
 class WorkerProtocolError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of the errors that this package raises."""
 
 
 class StaleTokenError(WorkerProtocolError):
-    """A machine has acknowledged a later leader, by a higher token than this leader's."""
+    """A machine has acknowledged the token of a later leader, which is above this leader's token."""
 
     def __init__(self, machine: str, token: int, own_token: int) -> None:
         super().__init__(f"machine {machine} has acknowledged token {token}, above this leader's {own_token}")
--- a/spindleglade/workers/failure_tracker.py
+++ b/spindleglade/workers/failure_tracker.py
@@ -1,4 +1,4 @@
-"""Whose fault failed tasks are: machines are quarantined, jobs paused."""
+"""Attributes task failures to machines, which are quarantined, or to jobs, which are paused."""
 
 import logging
 from datetime import timedelta
@@ -11,15 +11,18 @@
 
 
 class FailureTracker:
-    """Tells faulty machines from faulty jobs. Called with the lock held."""
+    """Distinguishes faulty machines from faulty jobs. Called with the lock held."""
 
     def __init__(self, data: ClusterData) -> None:
         self._data = data
 
     def on_task_failed(self, machine: Machine, job: Job, now: timedelta) -> None:
-        """One failure does not tell whose fault it is. Several jobs failing on a machine quarantine it; a job
-        failing on several machines is paused, and speaks against none of them: a machine that its errors
-        had quarantined is used again."""
+        """Records the failure of a task, and quarantines the machine or pauses the job if the cause is clear.
+
+        A single failure does not show the cause. If several jobs fail on a machine, the machine is
+        quarantined. If a job fails on several machines, it is paused, and its failures no longer count
+        against any machine, so that a machine quarantined because of them is used again.
+        """
         job.failed_on.add(machine.name)
         job.avoided_machines.add(machine.name)
         if len(job.failed_on) > 1:
@@ -32,7 +35,7 @@
             log.info("machine quarantined machine=%s jobs=%s", machine.name, sorted(machine.failed_jobs))
 
     def _clear_failures_of(self, job: Job) -> None:
-        """Takes the job's failures off the records of all machines."""
+        """Removes the job from the failed jobs of all machines."""
         for name in job.failed_on:
             machine = self._data.machines.get(name)
             if machine is None or job.id not in machine.failed_jobs:
@@ -46,12 +49,13 @@
         return len(machine.failed_jobs) >= self._data.policy.quarantine_after_failed_jobs
 
     def pause_job(self, job: Job, now: timedelta) -> None:
-        """Places nothing of the job for a while, each time longer."""
-        # Its old failures say little by then, and every machine must stay open to it.
+        """Pauses the placement of the job's tasks. Each pause is twice as long as the one before, up to a
+        limit."""
+        # After the pause the failures say little about those machines, and the job may need any of them.
         job.avoided_machines.clear()
         if job.paused_until > now:
-            # Another of the tasks that were started together. If each lengthened the pause, it would be the
-            # longest at once.
+            # Tasks that were started together fail together. If each of them extended the pause, it would
+            # reach the limit at once.
             return
         policy = self._data.policy
         job.backoff = min(max(job.backoff * 2, policy.backoff), policy.max_backoff)
--- a/spindleglade/workers/job_updates.py
+++ b/spindleglade/workers/job_updates.py
@@ -1,4 +1,4 @@
-"""Jobs in memory follow their records in the store and the jobs that they depend on."""
+"""Updates the jobs in memory by their records in the store and by the jobs that they depend on."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -12,15 +12,15 @@
 
 
 class JobUpdates:
-    """Applies what is on record of jobs. Called with the lock held."""
+    """Applies changes of jobs to the cluster state. Called with the lock held."""
 
     def __init__(self, data: ClusterData, changes: StateChanges) -> None:
         self._data = data
         self._changes = changes
 
     def observe_job(self, record: JobRecord, mod_revision: int, now: timedelta, age: timedelta) -> None:
-        """A job record, from the first reading or from a later change; `age` is the time since the job was
-        accepted."""
+        """Applies a job record, loaded after the election or observed as a later change. `age` is the time
+        since the job was accepted."""
         job = self._data.jobs.get(record.spec.id)
         if job is None:
             if record.state != JobState.DONE:
@@ -42,11 +42,11 @@
         if job.spec.deadline_s is not None:
             job.deadline = accepted_at + timedelta(seconds=job.spec.deadline_s)
         self._data.change_count += 1
-        # One that was over and forgotten before the replica observed this record is forgotten again.
+        # A job that was over and forgotten before the replica observed this record is forgotten again.
         self._changes.queue_removal(job)
 
     def cancel_through_dependency(self, job_id: str) -> None:
-        """A dependency of the job is cancelled, and so is the job, though its own record does not say so."""
+        """Cancels a job because a dependency of it is cancelled. The record of the job does not show that."""
         job = self._data.jobs.get(job_id)
         if job is not None and job.is_open:
             self._data.change_count += 1
@@ -60,23 +60,24 @@
         self._changes.queue_removal(job)
 
     def release_job(self, job_id: str, now: timedelta, age: timedelta) -> None:
-        """All dependencies of the job are on record as done, since `age`: its tasks may start from now on."""
+        """Lets the tasks of a job start, since all its dependencies are recorded as done. `age` is the time
+        since the last of them was."""
         job = self._data.jobs.get(job_id)
         if job is not None and not job.released:
             job.released = True
-            # A job that has had starts was read later than its release: the time of the latest start is not
-            # on record.
+            # The time of the latest start is not on record. For a job that had starts before this leader's
+            # election, `waiting_since` is the time of loading, which is later than the release.
             job.waiting_since = max(job.waiting_since, now - age)
             self._data.change_count += 1
 
     def set_has_dependents(self, job_id: str, has_dependents: bool) -> None:
-        """Whether other jobs wait for this one, so that its end is recorded before others."""
+        """Sets whether other jobs depend on this one. The ends of such jobs are recorded first."""
         job = self._data.jobs.get(job_id)
         if job is not None:
             job.has_dependents = has_dependents
 
     def chain_members(self, names: Iterable[str]) -> dict[str, ChainMember]:
-        """Those of the named jobs that are open."""
+        """The pipeline properties of those of the named jobs that are open, by job ID."""
         jobs = [self._data.jobs[name] for name in names if name in self._data.jobs]
         return {
             job.id: ChainMember(RANK[job.spec.priority], job.deadline, job.spec.team, estimate(job.spec))
@@ -85,7 +86,7 @@
         }
 
     def set_urgency(self, job_id: str, rank: int, latest_start: timedelta | None) -> None:
-        """What the job takes over from the jobs that need it."""
+        """Sets the rank and the latest start that the job inherits from its dependents."""
         job = self._data.jobs.get(job_id)
         if job is None:
             return
@@ -98,14 +99,14 @@
                     self._changes.mark_machine_changed(machine)
 
     def on_job_recorded_done(self, job_id: str, mod_revision: int) -> None:
-        """The record says that the job is done."""
+        """Finishes a job that is recorded as done."""
         job = self._data.jobs.get(job_id)
         if job is not None and not job.finished:
             job.mod_revision = max(job.mod_revision, mod_revision)
             self._changes.finish_job(job)
 
     def forget_job(self, job_id: str) -> None:
-        """All task ranges of a job that is over are removed from the store."""
+        """Removes a job that is over from memory, once its task ranges are removed from the store."""
         job = self._data.jobs.get(job_id)
         if job is not None and not job.is_open and not job.placed:
             job.mark_all_committed()
--- a/spindleglade/workers/jobs.py
+++ b/spindleglade/workers/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as the leader keeps them: the states of their tasks, and the versions of their task ranges."""
+"""Jobs in the leader's memory, with the states of their tasks and the versions of their task ranges."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -14,29 +14,30 @@
 from spindleglade.submissions.task_ranges import TaskRanges
 from spindleglade.workers.attempts import Attempt
 
-# States of a task, as bytes of `Job.task_states`.
+# The state of a task, as a byte of `Job.task_states`.
 WAITING, PLACED, DONE = 0, 1, 2
 _WAITING_BYTE = bytes([WAITING])
-# Higher than any version of a task range.
+# A committed version that is higher than any version of a task range.
 ALL_VERSIONS = 1 << 62
-# What planning assumes of a job without an estimate, such as a service, which runs until it is cancelled.
+# The run time that planning assumes for a job without an estimate, such as a service, which runs until it is
+# cancelled.
 DEFAULT_ESTIMATE = timedelta(days=7)
-# Added to the time that a task needs to save.
+# Added to the time that a task needs to save, for its grace period when it is stopped.
 GRACE_PERIOD_MARGIN_S = 1.0
 
 
 def estimate(spec: Submission) -> timedelta:
-    """How long a task of the job runs, as its user says."""
+    """The estimated run time of a task of the job, as submitted, or a default."""
     return DEFAULT_ESTIMATE if spec.estimate_s is None else timedelta(seconds=spec.estimate_s)
 
 
 def grace_period_s(spec: Submission) -> float:
-    """How long a task that is stopped may take to save; one that cannot save gets none."""
+    """How long a task that is stopped may take to save, in seconds; 0 for a task that cannot save."""
     return spec.save_s + GRACE_PERIOD_MARGIN_S if spec.checkpoint_s > 0 else 0.0
 
 
 class ChainMember(NamedTuple):
-    """What an open job brings into its pipelines."""
+    """The properties of an open job that the urgencies of its pipelines are computed from."""
 
     rank: int
     deadline: timedelta | None
@@ -45,7 +46,7 @@
 
 
 class Job:
-    """A job that is not yet forgotten, with the progress of all its tasks."""
+    """A job in the leader's memory, with the state and the attempts of all its tasks."""
 
     __slots__ = (
         "accepted",
@@ -81,36 +82,42 @@
         self.id = record.spec.id
         self.range_size = record.range_size
         self.accepted = record.accepted_at
-        # Submission order is the order in which the store committed the records.
+        # Orders jobs by submission, which is the order in which the store committed their records.
         self.submission_revision = mod_revision
         self.mod_revision = mod_revision
         self.rank = RANK[record.spec.priority]
         self.types = None if record.spec.types is None else frozenset(record.spec.types)
-        # Which stored value speaks for which tasks; versions are by the first task of each.
+        # The task ranges, each of which is one value in the store. Their versions are kept by first task.
         self.ranges = TaskRanges(record.range_size, record.spec.tasks)
         self.task_states = bytearray(record.spec.tasks)
-        # The latest attempt of each task, by task number.
+        # The number of the latest attempt of each task, by task number; a task without attempts has no entry.
         self.attempts: dict[int, int] = {}
+        # By task number.
         self.placed: dict[int, Attempt] = {}
+        # The number of tasks that are done.
         self.done = 0
         self.cancelled = record.state == JobState.CANCELLED
-        # The record says done or cancelled; nothing more will be placed.
+        # Whether the record says that the job is done, after which none of its tasks is placed.
         self.finished = record.state == JobState.DONE
         self.versions: dict[int, int] = {}
         self.committed_versions: dict[int, int] = {}
+        # After failures, no task is placed before this time.
         self.paused_until = timedelta(0)
+        # The length of the latest pause; 0 before the first one, and again once a task is done.
         self.backoff = timedelta(0)
+        # Machines on which tasks failed since the latest pause, and all on which tasks failed.
         self.avoided_machines: set[str] = set()
         self.failed_on: set[str] = set()
-        # All its dependencies are done. Until then no task of it may start.
+        # Whether all dependencies are done. No task of the job may start before that.
         self.released = not record.has_dependencies
-        # Other jobs wait for its end.
+        # Whether other jobs depend on this one.
         self.has_dependents = False
-        # When it should be done, by its own deadline.
+        # The time by which the job itself should be done, without regard to its dependents.
         self.deadline: timedelta | None = None
-        # When it should start so that the jobs that need it can meet theirs.
+        # The time by which the job should start, so that its dependents can meet their deadlines.
         self.latest_start: timedelta | None = None
-        # Since when it has had no start.
+        # Since when the job has waited for a start: its latest start, or its submission or release if there
+        # was none. For starts before this leader's election it is the time of loading.
         self.waiting_since = timedelta(0)
 
     @property
@@ -124,23 +131,23 @@
         return self.done == len(self.task_states)
 
     def version(self, index: int) -> int:
-        """The latest version of the task range that speaks for the task."""
+        """The latest version of the task range that contains the task."""
         return self.versions.get(self.ranges.start(index), 0)
 
     def committed_version(self, index: int) -> int:
-        """The latest version of that task range that the store holds."""
+        """The latest version, known to be in the store, of the task range that contains the task."""
         return self.committed_versions.get(self.ranges.start(index), 0)
 
     def mark_all_committed(self) -> None:
-        """Nothing of the job waits to be written any more."""
+        """Marks the task ranges as committed in all versions, so that nothing waits for a write."""
         for first_task in [*self.ranges.range_starts, *self.ranges.overflow_starts]:
             self.committed_versions[first_task] = ALL_VERSIONS
 
-    def split_range(self, start: int, width: int) -> list[int]:
-        """Splits a task range into ranges of `width` tasks at most, and returns the first task of each. What
-        of it is committed stays so: the value in the store speaks for these tasks until the overflow ranges
-        are stored."""
-        overflow_starts = self.ranges.split_points(start, width)
+    def split_range(self, start: int, max_tasks: int) -> list[int]:
+        """Splits a task range into ranges of at most `max_tasks` tasks, and returns the first task of each.
+        The new ranges keep its committed version: its value in the store remains valid for their tasks until
+        the overflow ranges are stored."""
+        overflow_starts = self.ranges.split_points(start, max_tasks)
         for first_task in overflow_starts:
             self.ranges.add(first_task)
             self.versions[first_task] = self.versions.get(start, 0)
@@ -148,16 +155,16 @@
         return [start, *overflow_starts]
 
     def waiting_tasks(self, limit: int) -> list[int]:
-        """The first waiting tasks, in order."""
-        found: list[int] = []
+        """The numbers of the first `limit` waiting tasks, in order."""
+        indices: list[int] = []
         index = self.task_states.find(_WAITING_BYTE)
-        while index >= 0 and len(found) < limit:
-            found.append(index)
+        while index >= 0 and len(indices) < limit:
+            indices.append(index)
             index = self.task_states.find(_WAITING_BYTE, index + 1)
-        return found
+        return indices
 
     def encode_range(self, first_task: int) -> TaskRangeRecord | None:
-        """The record of a task range as it stands; None if there is nothing to say."""
+        """The record of a task range in its current state; None if none of its tasks was ever attempted."""
         end = self.ranges.end(first_task)
         record = TaskRangeRecord(
             done=consecutive_runs(
--- a/spindleglade/workers/machine_registry.py
+++ b/spindleglade/workers/machine_registry.py
@@ -1,4 +1,4 @@
-"""What the cloud and the other controllers say of machines."""
+"""Updates machines by the information of the cloud and of the peers."""
 
 import logging
 from collections.abc import Iterable
@@ -13,14 +13,14 @@
 
 
 class MachineRegistry:
-    """Keeps the machines in step with the cloud and the peers. Called with the lock held."""
+    """Applies the information of the cloud and of the peers to the machines. Called with the lock held."""
 
     def __init__(self, data: ClusterData, changes: StateChanges) -> None:
         self._data = data
         self._changes = changes
 
     def on_machine_terminated(self, name: str, reason: str) -> None:
-        """The cloud has said that the machine and all on it are gone."""
+        """Removes a machine that the cloud reports as terminated, and ends all attempts on it."""
         self._data.terminated.add(name)
         machine = self._data.machines.get(name)
         if machine is None:
@@ -31,9 +31,9 @@
         del self._data.machines[name]
 
     def observe_listed_machines(self, locations: Iterable[MachineLocation]) -> None:
-        """The cloud's list of running machines. The status of machines that have sent this leader no
-        heartbeat yet can be requested then; without an address, one that died with the leader before would
-        be waited for until a whole lease is over."""
+        """Adds the addresses in the cloud's list of running machines to machines without one, which have not
+        sent this leader a heartbeat. Their status can be requested then. Otherwise a machine that failed
+        together with the former leader would be waited for until a whole lease has passed."""
         for name, address, zone in locations:
             machine = self._data.machines.get(name)
             if machine is not None and not machine.address:
@@ -41,14 +41,15 @@
                 self._data.dispatch_queue[name] = None
 
     def on_leases_renewed_by_peer(self, names: Iterable[str], now: timedelta) -> None:
-        """A peer renews these machines' leases: they live, though no heartbeat of theirs arrives here."""
+        """Records that a peer renews the leases of these machines: they are alive, though their heartbeats do
+        not reach this leader."""
         for name in names:
             machine = self._data.machines.get(name)
             if machine is not None:
                 machine.renewed_by_peer_at = now
 
     def is_silent(self, machine: Machine, now: timedelta, limit: timedelta) -> bool:
-        """Whether neither the machine nor a peer has shown for longer than `limit` that it lives."""
+        """Whether neither the machine nor a peer has shown for longer than `limit` that the machine lives."""
         started_at = self._data.started_at
         latest = max(machine.last_heartbeat_at or started_at, machine.renewed_by_peer_at or started_at)
         return now - latest > limit
--- a/spindleglade/workers/machine_usability.py
+++ b/spindleglade/workers/machine_usability.py
@@ -1,4 +1,4 @@
-"""Whether tasks may be started on a machine, and why jobs have no start."""
+"""Determines whether tasks may be started on a machine, and why jobs have no start."""
 
 from collections import Counter
 from datetime import timedelta
@@ -10,13 +10,13 @@
 
 
 class MachineUsability:
-    """Judges machines and waiting jobs; changes nothing. Called with the lock held."""
+    """Evaluates machines and waiting jobs without changing them. Called with the lock held."""
 
     def __init__(self, data: ClusterData) -> None:
         self._data = data
 
     def unusable_reason(self, machine: Machine, now: timedelta) -> MachineUnusableReason | None:
-        """Why no task may be started on the machine; None if one may."""
+        """Why no task may be started on the machine; None if tasks may be started."""
         reason = None
         if not machine.acknowledged_token:
             reason = MachineUnusableReason.TOKEN_NOT_ACKNOWLEDGED
@@ -39,8 +39,9 @@
         return reason
 
     def _is_lease_renewed(self, machine: Machine, now: timedelta) -> bool:
-        """A status that the leader requested renews no lease: a machine that reaches no controller itself
-        loses all its tasks when its lease expires, and would lose the next ones in the same way."""
+        """Whether the worker's lease was renewed recently. A heartbeat in response to a status request does
+        not renew it: a machine that reaches no controller itself loses all its tasks when its lease expires,
+        and would lose newly started ones in the same way."""
         started_at = self._data.started_at
         renewed_at = max(
             machine.last_own_heartbeat_at or started_at, machine.renewed_by_peer_at or started_at
@@ -48,7 +49,7 @@
         return self._data.policy.is_recent(renewed_at, now)
 
     def scheduling_stall(self, now: timedelta) -> SchedulingStall | None:
-        """What waits and why, for the log; None if no job has waiting tasks."""
+        """Why jobs with waiting tasks have no start, for the log; None if no job has waiting tasks."""
         used = self._used_by_team()
         pending = Counter(
             self._pending_reason(job, used, now)
@@ -61,7 +62,7 @@
         return SchedulingStall(pending, reasons.count(None), Counter(filter(None, reasons)))
 
     def _used_by_team(self) -> dict[str, tuple[float, float]]:
-        """CPUs and GPUs of the placed tasks of each team."""
+        """The CPUs and GPUs that the placed tasks of each team use."""
         used: dict[str, tuple[float, float]] = {}
         for job in self._data.jobs.values():
             cpus, gpus = used.get(job.spec.team, (0.0, 0.0))
--- a/spindleglade/workers/machines.py
+++ b/spindleglade/workers/machines.py
@@ -1,4 +1,4 @@
-"""Machines as the leader knows them, and what their types offer."""
+"""Machines in the leader's memory, and the capacities of their types."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 
 class MachineTypeCapacity(NamedTuple):
-    """What a machine of a type offers to tasks."""
+    """The capacity that a machine of a type has for tasks. Memory and the image cache are in GB."""
 
     cpus: float
     gpus: float
@@ -21,7 +21,7 @@
 
 
 class MachineLocation(NamedTuple):
-    """Where the cloud says that a machine is."""
+    """The address and the zone of a machine, as the cloud lists them."""
 
     name: str
     address: str
@@ -29,7 +29,7 @@
 
 
 class ReservedCapacity(NamedTuple):
-    """Capacity that only one job may use for a while."""
+    """Capacity for `task_count` tasks of one job, which other jobs may not use before `until`."""
 
     task_count: int
     until: timedelta
@@ -37,63 +37,70 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A machine: what its heartbeats say, what is placed on it, and whether it can be reached."""
+    """A machine: the status in its heartbeats, the attempts placed on it, and whether it is reachable."""
 
     name: str
     address: str
     type: str
     zone: str
     spot: bool
+    # Incarnation and sequence number of its latest heartbeat.
     incarnation: int = 0
     sequence: int = -1
-    # Whether a heartbeat of this incarnation has come under this leader's token.
+    # Whether a heartbeat of this incarnation has carried this leader's token.
     acknowledged_token: bool = False
+    # When the latest heartbeat was received, including those in responses to this leader's messages.
     last_heartbeat_at: timedelta | None = None
-    # When a heartbeat last came by the worker's own request, which alone renews its lease; before that, when
-    # the machine came to be known.
+    # When the latest heartbeat was received in a request of the worker, the only kind that renews its lease.
+    # Before the first one, when the machine was added.
     last_own_heartbeat_at: timedelta | None = None
     # When a peer that cannot reach this leader last reported, through the store, that it renews the lease.
     renewed_by_peer_at: timedelta | None = None
-    # When a message sent directly to it last went unanswered since its latest heartbeat.
+    # When a status request to the machine last went unanswered; None after its next heartbeat.
     unanswered_since: timedelta | None = None
-    # Since when it is taken to be unreachable: its heartbeats arrive, but what is sent to it does not.
+    # Since when the machine counts as unreachable: its heartbeats arrive, but messages to it do not.
     unreachable_since: timedelta | None = None
-    # When a message of this leader last reached it, and when one last went unanswered.
+    # When a direct message of this leader last reached it, and when one last went unanswered.
     last_command_answered_at: timedelta | None = None
     last_command_unanswered_at: timedelta | None = None
     # When a heartbeat of this incarnation was last answered.
     last_response_at: timedelta | None = None
-    # The tasks of its latest heartbeat.
+    # The tasks that its latest heartbeat lists.
     tasks: list[TaskStatus] = field(default_factory=list)
+    # The first heartbeat since which nothing has been placed on the machine; None while something is placed.
     idle_since: timedelta | None = None
-    # When the cloud takes it away.
+    # When the cloud terminates it, as announced by a heartbeat; None without an announcement.
     terminates_at: timedelta | None = None
     quarantined: bool = False
-    # The leader has asked the cloud to terminate it: nothing may be placed any more.
+    # Whether the leader has asked the cloud to terminate it, after which nothing is placed on it.
     terminating: bool = False
+    # No task is placed on the machine before this time, because it has rejected a start.
     refuses_starts_until: timedelta = timedelta(0)
-    # By job and task number.
+    # By job ID and task number.
     placed: dict[tuple[str, int], Attempt] = field(default_factory=dict)
     exited: dict[AttemptKey, ExitedAttempt] = field(default_factory=dict)
-    # Attempts whose start was sent directly and never answered: it may still arrive, so they are never
-    # forgotten in this incarnation, nor taken as over for being absent. Value: when it was sent.
+    # Attempts with a start that was sent directly and not answered, and when that became known. The start may
+    # still arrive, so in this incarnation the worker must not forget these attempts, and their absence from a
+    # heartbeat does not prove that they have ended.
     unacknowledged_starts: dict[AttemptKey, timedelta] = field(default_factory=dict)
-    # Attempts on the machine that are not placed there, with their states.
+    # Attempts that occupy the machine but are not placed there, with their states.
     unexpected_attempts: dict[AttemptKey, str] = field(default_factory=dict)
+    # Jobs that count against the machine: a task of each has failed here, and none on another machine.
     failed_jobs: set[str] = field(default_factory=set)
     # Images in its cache and their sizes in GB, least recently used first.
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
-    # By the job that it is reserved for.
+    # By the ID of the job that the capacity is reserved for.
     reserved_capacity: dict[str, ReservedCapacity] = field(default_factory=dict)
+    # Whether a direct message with commands is not answered yet.
     command_in_flight: bool = False
-    # The tasks of the latest heartbeat, if they are all as placed and no command is pending; else None.
+    # The tasks of the latest heartbeat if they match what is placed and no command is pending, else None.
     reconciled_tasks: list[TaskStatus] | None = None
-    # As planning sees it, until something here changes.
+    # The cached view for planning; None after a change that planning must see.
     planning_view: MachineView | None = None
 
     def unacknowledged_starts_of_cancelled_jobs(self) -> list[timedelta]:
-        """When those starts were sent directly that were never answered, and may still start a task of a
-        cancelled job."""
+        """The times of the unacknowledged starts of cancelled jobs. Such a start may still arrive and run a
+        task of a cancelled job."""
         if not self.unacknowledged_starts:
             return []
         return [
@@ -106,9 +113,9 @@
 
 
 class MachineReachability(NamedTuple):
-    """The machines with recent heartbeats, by the outcome of the latest message sent directly to them."""
+    """The machines with recent heartbeats, by the outcome of the latest direct message to them."""
 
     unanswered: list[Machine]
     answered: list[Machine]
-    # Nothing was sent to them recently.
+    # Machines to which no message was sent recently.
     untried: list[Machine]
--- a/spindleglade/workers/planning_bridge.py
+++ b/spindleglade/workers/planning_bridge.py
@@ -1,4 +1,4 @@
-"""Gives planning its snapshots of the cluster state, and applies its plans."""
+"""Builds the snapshots of the cluster state that planning passes work on, and applies their plans."""
 
 import logging
 from datetime import timedelta
@@ -13,20 +13,21 @@
 from spindleglade.workers.machines import Machine, MachineTypeCapacity, ReservedCapacity
 from spindleglade.workers.messages import split_task
 from spindleglade.workers.state_changes import StateChanges
-from spindleglade.workers.views import UNKNOWN_TYPE, JobCircumstances, job_view, machine_view
+from spindleglade.workers.views import UNKNOWN_TYPE_CAPACITY, JobCircumstances, job_view, machine_view
 from spindleglade.workers.write_batch import TaskRangeId
 
 log = logging.getLogger("spindleglade.workers")
 
-# One pass places no more tasks of a job than fill so many machines of the largest type.
+# A planning pass is offered only as many tasks of a job as would fill this number of machines of the largest
+# type.
 MAX_MACHINES_FILLED_PER_PASS = 64
 
-# Machines that a waiting task must not be placed on, by job and task number.
+# The names of the machines that a waiting task must not be placed on, by job ID and task number.
 ExcludedMachines = dict[str, dict[int, set[str]]]
 
 
 class PlanningBridge:
-    """Binds the cluster state and planning. Called with the lock held."""
+    """Connects the cluster state with planning. Called with the lock held."""
 
     def __init__(self, data: ClusterData, changes: StateChanges, usability: MachineUsability) -> None:
         self._data = data
@@ -34,8 +35,8 @@
         self._usability = usability
 
     def set_machine_types(self, machine_types: dict[str, MachineTypeCapacity]) -> None:
-        """The capacities of the machine types are known, or have changed. Machines that registered before
-        have views without any capacity, which are made anew."""
+        """Sets the capacities of the machine types. The planning views of all machines are built again:
+        that of a machine that registered before its type was known has no capacity."""
         if machine_types == self._data.machine_types:
             return
         self._data.machine_types = machine_types
@@ -44,7 +45,7 @@
             machine.planning_view = None
 
     def snapshot(self, now: timedelta) -> Snapshot:
-        """The machines, and the jobs that a task may be placed of, in the order of submission."""
+        """Returns all machines, and the jobs with tasks that may be placed, in the order of submission."""
         data = self._data
         excluded: ExcludedMachines = {}
         machines = []
@@ -58,7 +59,7 @@
     def _machine_view(self, machine: Machine, now: timedelta) -> MachineView:
         view = machine.planning_view
         if view is None:
-            capacity = self._data.machine_types.get(machine.type, UNKNOWN_TYPE)
+            capacity = self._data.machine_types.get(machine.type, UNKNOWN_TYPE_CAPACITY)
             view = machine.planning_view = machine_view(machine, capacity)
         view.is_usable = self._usability.unusable_reason(machine, now) is None
         view.reserved_capacity = {
@@ -90,7 +91,7 @@
 
     @staticmethod
     def _is_candidate(job: Job, now: timedelta) -> bool:
-        """Whether a task of the job may be placed. A group starts again once all its tasks have ended."""
+        """Whether a task of the job may be placed. A gang starts again once all its tasks have ended."""
         return (
             job.released
             and job.is_open
@@ -101,16 +102,17 @@
 
     @staticmethod
     def _is_probing(job: Job, now: timedelta) -> bool:
-        """A job that has failed on several machines and had no task done since was probably submitted with a
-        mistake: it fails on every machine until its user cancels it. One task at a time shows how it is; one
-        that has run for longer than the pause before it shows that the others may start as well."""
+        """Whether only one task of the job may run at a time. A job that has failed on several machines and
+        has had no task done since then probably contains an error, and fails on every machine until its user
+        cancels it, so its tasks are tried one at a time. Once such a task has run for longer than the pause
+        before it, the other tasks may start as well."""
         return job.backoff > timedelta(0) and not any(
             attempt.state == RUNNING and now - (attempt.running_since or attempt.placed_at) > job.backoff
             for attempt in job.placed.values()
         )
 
     def _collect_excluded_machines(self, machine: Machine, excluded: ExcludedMachines) -> None:
-        """Waiting tasks may not be placed on a machine where an older attempt is not yet forgotten."""
+        """Excludes the machine for waiting tasks of which it has not yet forgotten an earlier attempt."""
         for task, _ in [*machine.exited, *machine.unacknowledged_starts]:
             job_id, index = split_task(task)
             job = self._data.jobs.get(job_id)
@@ -118,8 +120,8 @@
                 excluded.setdefault(job_id, {}).setdefault(index, set()).add(machine.name)
 
     def apply_plan(self, plan: Plan, now: timedelta) -> int:
-        """Applies a plan as far as it still holds, and returns the number of placements. The starts wait for
-        their record."""
+        """Applies those parts of a plan that are still valid, and returns the number of placements. The start
+        of a placed task is sent once its placement is committed to the store."""
         count = self._apply_placements(plan.placements, now)
         if count:
             self._data.latest_start = now
@@ -134,7 +136,7 @@
 
     def _apply_placements(self, placements: list[Placement], now: timedelta) -> int:
         count = 0
-        # Whether each job was overdue before the first of these placements.
+        # Whether each job was overdue before its first placement in this plan, by job ID.
         overdue: dict[str, bool] = {}
         for placement in placements:
             job = self._data.jobs.get(placement.job)
--- a/spindleglade/workers/policy.py
+++ b/spindleglade/workers/policy.py
@@ -1,23 +1,25 @@
-"""The settings that decide how machines and failing jobs are treated."""
+"""The settings for leases, heartbeats, quarantine and pauses."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
-# A heartbeat may be this much later than two intervals and still count as recent.
+# A heartbeat counts as recent until two heartbeat intervals and this tolerance have passed.
 HEARTBEAT_TOLERANCE = timedelta(seconds=1)
 
 
 class WorkerPolicy(NamedTuple):
-    """Intervals and limits of the worker protocol."""
+    """The lease, the heartbeat interval, and limits for failing machines and jobs."""
 
     lease: timedelta
     heartbeat_interval: timedelta
+    # A machine is quarantined once tasks of so many jobs have failed on it.
     quarantine_after_failed_jobs: int
+    # The length of the first pause of a failing job, and that of the longest.
     backoff: timedelta
     max_backoff: timedelta
-    # How long a job may go without a start before it is overdue.
+    # A job with waiting tasks is overdue once it has had no start for this long.
     overdue_after: timedelta = timedelta(seconds=60)
 
     def is_recent(self, at: timedelta | None, now: timedelta) -> bool:
-        """Whether no more than one heartbeat has been missed since that time."""
+        """Whether at most one heartbeat has been missed since the time `at`; False if it is None."""
         return at is not None and now - at < self.heartbeat_interval * 2 + HEARTBEAT_TOLERANCE
--- a/spindleglade/workers/reasons.py
+++ b/spindleglade/workers/reasons.py
@@ -1,4 +1,4 @@
-"""Why machines get no work and jobs no start, as the log names it."""
+"""The reasons why machines are unusable and jobs have no start, as they appear in the log."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class MachineUnusableReason(StrEnum):
-    """Why nothing may be started on a machine."""
+    """Why no task may be started on a machine."""
 
     TOKEN_NOT_ACKNOWLEDGED = "token not acknowledged"
     TERMINATION_ANNOUNCED = "termination announced"
@@ -20,7 +20,7 @@
 
 
 class PendingReason(StrEnum):
-    """Why a job with waiting tasks had no start."""
+    """Why a job with waiting tasks has no start."""
 
     DEPENDENCIES = "dependencies"
     PAUSED = "paused after failures"
@@ -30,18 +30,20 @@
 
 @dataclass(frozen=True)
 class SchedulingStall:
-    """What waits and why, and what of the machines could be used."""
+    """The state of the scheduler while jobs with waiting tasks have no start."""
 
-    waiting: Counter[PendingReason]
-    usable: int
-    unusable: Counter[MachineUnusableReason]
+    # The number of jobs with waiting tasks, by reason.
+    pending_jobs: Counter[PendingReason]
+    # The number of usable machines, and that of unusable machines by reason.
+    usable_machine_count: int
+    unusable_machines: Counter[MachineUnusableReason]
 
     def __str__(self) -> str:
         return (
-            f"waiting=[{_listed(self.waiting)}] machines_usable={self.usable} "
-            f"machines_unusable=[{_listed(self.unusable)}]"
+            f"waiting=[{_format_counts(self.pending_jobs)}] machines_usable={self.usable_machine_count} "
+            f"machines_unusable=[{_format_counts(self.unusable_machines)}]"
         )
 
 
-def _listed(counts: Counter[PendingReason] | Counter[MachineUnusableReason]) -> str:
+def _format_counts(counts: Counter[PendingReason] | Counter[MachineUnusableReason]) -> str:
     return ", ".join(f"{reason}: {count}" for reason, count in sorted(counts.items()))
--- a/spindleglade/workers/test_command_dispatcher.py
+++ b/spindleglade/workers/test_command_dispatcher.py
@@ -1,4 +1,4 @@
-"""Commands sent straight to the machines: which are sent when, and what becomes of unanswered ones."""
+"""Commands sent directly to the machines: when they are sent, and the handling of missing responses."""
 
 from datetime import timedelta
 
@@ -22,7 +22,8 @@
 
 @pytest.mark.parametrize("error", [ConnectionLimitError, NotSentError, NoResponseError])
 def test_commands_not_sent_for_lack_of_connections_make_no_machine_unreachable(error):
-    """They are left to the response to the next heartbeat; the machine may well be reachable."""
+    """They are sent with the response to the next heartbeat instead. The machine may be reachable: the limit
+    of connections is that of this controller."""
 
     class Http:
         async def request(self, *arguments):
@@ -53,7 +54,7 @@
 
 
 def test_a_leader_that_may_not_renew_leases_sends_stops_but_no_starts():
-    """A task may have been cancelled while the leader did not know all cancellations."""
+    """A start could run a task whose cancellation the leader does not know yet."""
     sent, known_as_of = [], [None]
 
     class Http:
@@ -85,7 +86,8 @@
 
 
 def test_commands_whose_sending_raises_are_not_in_flight_for_ever():
-    """The machine is sent commands again, and the start comes with the response to its next heartbeat."""
+    """While a command counts as in flight, the machine is sent no others. After the error the start is sent
+    with the response to the next heartbeat."""
 
     class Http:
         async def request(self, *arguments):
--- a/spindleglade/workers/test_command_selection.py
+++ b/spindleglade/workers/test_command_selection.py
@@ -1,4 +1,4 @@
-"""Which commands are sent, and what they wait for."""
+"""The selection of commands, and the conditions under which they are sent."""
 
 from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.submissions.records import JobRecord, StoredAttempt, TaskRangeRecord
@@ -17,7 +17,7 @@
 
 def test_an_exited_attempt_is_forgotten_only_once_its_end_is_recorded():
     harness = Harness().with_running_task()
-    # Not with the second heartbeat either, when the attempt is no longer placed.
+    # At the second heartbeat the attempt is no longer placed, and it must not be forgotten then either.
     for _ in range(2):
         assert harness.send_heartbeat(("job-1/0", 1, "exited", "done")) == []
     harness.commit_writes()
@@ -31,7 +31,7 @@
     )
     assert harness.send_heartbeat(token=TOKEN - 1) == []
     assert harness.direct_commands() == []
-    # Under this token no former leader's start can be executed any more: it may be sent (again).
+    # Under this token no start of a former leader can be executed any more, so the start may be sent again.
     assert harness.send_heartbeat() == START
 
 
@@ -54,7 +54,7 @@
     harness.cluster.observe_job(JobRecord("open", spec("job-2", 1000), 256), 2)
     harness.send_heartbeat()
     harness.cluster.apply_plan(
-        Plan(placements=[Placement("job-2", at, "n-1") for at in range(1000)]), harness.now
+        Plan(placements=[Placement("job-2", index, "n-1") for index in range(1000)]), harness.now
     )
     harness.commit_writes()
     sent: list[Command] = []
--- a/spindleglade/workers/test_failure_tracker.py
+++ b/spindleglade/workers/test_failure_tracker.py
@@ -1,4 +1,4 @@
-"""Failures: when machines are quarantined, and jobs paused and probed with one task."""
+"""Task failures: the quarantine of machines, and the pausing and probing of jobs."""
 
 import pytest
 
@@ -25,7 +25,7 @@
 
     fail("job-1", "n-1")
     fail("job-1", "n-2")
-    # The same job failed on both: it is paused, and neither machine is quarantined.
+    # The same job failed on both machines: it is paused, and neither machine is quarantined.
     assert harness.cluster.jobs["job-1"].paused_until > harness.now
     assert not harness.cluster.machines["n-1"].failed_jobs and not harness.cluster.machines["n-2"].failed_jobs
     fail("job-2", "n-1")
@@ -40,8 +40,8 @@
         harness.send_heartbeat(machine=name)
 
     def fail(job, machine):
-        start_all(harness, job, [machine])
-        list_all(harness, job, "error")
+        place_and_start(harness, job, [machine])
+        report_all(harness, job, "error")
 
     fail("job-1", "n-1")
     fail("job-2", "n-1")
@@ -52,8 +52,8 @@
     ].failed_jobs == {"job-1"}
 
 
-def start_all(harness, job, machines):
-    """Starts a waiting task of the job on each of the machines."""
+def place_and_start(harness, job, machines):
+    """Places a waiting task of the job on each of the machines and sends its start."""
     for machine in machines:
         harness.send_heartbeat(machine=machine)
     waiting = harness.cluster.jobs[job].waiting_tasks(len(machines))
@@ -64,8 +64,8 @@
         harness.send_heartbeat(machine=machine)
 
 
-def list_all(harness, job, *status):
-    """All placed tasks of the job are listed in that state, or as exited for that cause."""
+def report_all(harness, job, *status):
+    """Sends heartbeats that list all placed tasks of the job: as running, or as exited for this cause."""
     by_machine = {}
     for attempt in harness.cluster.jobs[job].placed.values():
         by_machine.setdefault(attempt.machine, []).append((attempt.task, attempt.attempt))
@@ -75,42 +75,42 @@
 
 
 def test_a_job_that_fails_everywhere_is_probed_with_one_task_at_a_time():
-    """Starting all its tasks at the end of each pause would fail them all again."""
+    """Otherwise all its tasks would start and fail again at the end of each pause."""
     harness = Harness()
     harness.cluster.observe_job(JobRecord("open", spec("job-2", 6), 1), 2)
     harness.send_heartbeat()
     harness.send_heartbeat(machine="n-2")
     job = harness.cluster.jobs["job-2"]
 
-    def planned_counts():
+    def offered_task_counts():
         return [
             len(view.waiting_tasks)
             for view in harness.cluster.snapshot(harness.now).jobs
             if view.id == "job-2"
         ]
 
-    assert planned_counts() == [6]
-    start_all(harness, "job-2", ["n-1", "n-1", "n-2", "n-2"])
-    list_all(harness, "job-2", "error")
-    assert job.paused_until == harness.now + seconds(5) and planned_counts() == []
+    assert offered_task_counts() == [6]
+    place_and_start(harness, "job-2", ["n-1", "n-1", "n-2", "n-2"])
+    report_all(harness, "job-2", "error")
+    assert job.paused_until == harness.now + seconds(5) and offered_task_counts() == []
     harness.now += seconds(5)
-    assert planned_counts() == [1]
-    start_all(harness, "job-2", ["n-1"])
-    assert planned_counts() == []
-    list_all(harness, "job-2", "error")
+    assert offered_task_counts() == [1]
+    place_and_start(harness, "job-2", ["n-1"])
+    assert offered_task_counts() == []
+    report_all(harness, "job-2", "error")
     assert job.paused_until == harness.now + seconds(10)
     harness.now += seconds(10)
-    start_all(harness, "job-2", ["n-2"])
-    list_all(harness, "job-2", "running")
+    place_and_start(harness, "job-2", ["n-2"])
+    report_all(harness, "job-2", "running")
     harness.now += seconds(10.5)
-    # It has run for longer than it was paused.
-    assert planned_counts() == [5]
-    list_all(harness, "job-2", "done")
-    assert planned_counts() == [5] and not harness.cluster.machines["n-2"].failed_jobs
+    # The task has run for longer than the pause before it.
+    assert offered_task_counts() == [5]
+    report_all(harness, "job-2", "done")
+    assert offered_task_counts() == [5] and not harness.cluster.machines["n-2"].failed_jobs
 
 
-def next_leader(harness, job):
-    """The cluster state as a new leader recovers it from the records."""
+def recover_cluster(harness, job):
+    """The cluster state that a new leader recovers from the records."""
     cluster = make_cluster()
     cluster.observe_job(JobRecord("open", job.spec, job.range_size), 2)
     for number in range(job.spec.tasks // job.range_size):
@@ -126,22 +126,22 @@
 
 
 def test_a_new_leader_continues_to_probe_a_job_that_fails_everywhere():
-    """Which jobs are paused and probed is not on record; the numbers of their attempts show it."""
+    """Pauses and probing are not recorded; the new leader infers them from the numbers of the attempts."""
     harness = Harness()
     harness.cluster.observe_job(JobRecord("open", spec("job-2", 6), 1), 2)
     harness.send_heartbeat()
     harness.send_heartbeat(machine="n-2")
     job = harness.cluster.jobs["job-2"]
     for machines in (["n-1", "n-1", "n-2", "n-2"], ["n-1"], ["n-2"]):
-        start_all(harness, "job-2", machines)
-        list_all(harness, "job-2", "error")
+        place_and_start(harness, "job-2", machines)
+        report_all(harness, "job-2", "error")
         harness.now += seconds(20)
-    assert waiting_task_count(next_leader(harness, job), "job-2", harness.now) == 1
-    # Also where the probing task is on a machine just then; and the others follow once it has run.
-    start_all(harness, "job-2", ["n-1"])
-    harness.cluster = cluster = next_leader(harness, job)
+    assert waiting_task_count(recover_cluster(harness, job), "job-2", harness.now) == 1
+    # The same applies while the probing task is on a machine. The other tasks follow once it has run.
+    place_and_start(harness, "job-2", ["n-1"])
+    harness.cluster = cluster = recover_cluster(harness, job)
     assert waiting_task_count(cluster, "job-2", harness.now) == 0
-    list_all(harness, "job-2", "running")
+    report_all(harness, "job-2", "running")
     harness.now += seconds(5.5)
     assert waiting_task_count(cluster, "job-2", harness.now) == 5
 
@@ -151,7 +151,7 @@
     [
         ([1, 1, 1, 1], {}, [], {}),
         ([3, 3, 3, 3], {}, [], {}),
-        # Capacity for two, then for one, and machines that were lost.
+        # The machines were lost repeatedly, with capacity for two tasks at first and then for one.
         ([3, 2, 0, 0], {}, [], {}),
         ([4, 0, 0, 0], {}, [], {}),
         ([4, 1, 1, 0], {3: 1}, [], {}),
--- a/spindleglade/workers/test_planning_bridge.py
+++ b/spindleglade/workers/test_planning_bridge.py
@@ -1,4 +1,4 @@
-"""Snapshots of the cluster state, and the placements of plans."""
+"""Snapshots of the cluster state for planning, and the application of plans to it."""
 
 from tests.cluster_harness import POLICY, Harness
 
--- a/spindleglade/workers/test_task_range_splitting.py
+++ b/spindleglade/workers/test_task_range_splitting.py
@@ -1,5 +1,5 @@
-"""Values that exceed lowered limits of the state service: task ranges are split, and a value that cannot be
-made smaller delays no others."""
+"""Task ranges whose values exceed the lowered limits of the state service are split. A value that cannot be
+made smaller delays no other writes."""
 
 import msgspec
 from hypothesis import settings
@@ -23,13 +23,17 @@
 from tests.fakes.state_service import StateService
 
 LOWER_LIMITS = NextStateLimits(value_kb=0.45, txn_ops=4)
-SPANS = st.tuples(st.integers(0, 99), st.integers(1, 70)).map(lambda at: set(range(at[0], at[0] + at[1])))
+# Sets of consecutive task numbers, drawn as the first one and their number.
+INDEX_RANGES = st.tuples(st.integers(0, 99), st.integers(1, 70)).map(
+    lambda drawn: set(range(drawn[0], drawn[0] + drawn[1]))
+)
 
 
 class SplittingSequences(RecordsStory):
-    """The same sequences with task ranges that exceed the next limits, which take effect at any moment. After
-    every single change of the store a next leader and the followers, in whichever order they read the keys,
-    know every placement, every attempt number and every end that was acted on."""
+    """The sequences of the base class, with task ranges that exceed the lowered limits, which take effect at
+    any time. After each change of the store, a new leader and the followers know every placement, every
+    attempt number and every end after which a worker has forgotten the attempt, in whichever order they read
+    the keys."""
 
     SIZES = {"job-1": 100, "job-2": 40}
     CHUNK = 64
@@ -37,17 +41,17 @@
     AT_ONCE = 100
 
     def __init__(self):
-        self.views, self.followed, self.forgotten = JobViews(), 0, set()
+        self.views, self.followed_revision, self.forgotten_tasks = JobViews(), 0, set()
         super().__init__()
         write_to_store = self.service._write
 
         def write(writes):
             write_to_store(writes)
-            self.nothing_is_lost()
+            self.check_nothing_is_lost()
 
         self.service._write = write
 
-    @rule(job=ANY_JOB, indices=SPANS, to=ANY_MACHINE, fates=FATES)
+    @rule(job=ANY_JOB, indices=INDEX_RANGES, to=ANY_MACHINE, fates=FATES)
     def place(self, job, indices, to, fates):
         super().place(job, indices, to, fates)
 
@@ -61,33 +65,34 @@
         super().report(machine)
         for key, status in before.items():
             if status == ("exited", "done") and key not in self.machines[machine]:
-                self.forgotten.add(key[0])
+                self.forgotten_tasks.add(key[0])
 
     @rule(chance=st.integers(0, 2))
-    def limits_fall(self, chance):
+    def lower_limits(self, chance):
         if chance == 0:
             self.service.lower_limits(LOWER_LIMITS.value_kb, LOWER_LIMITS.txn_ops)
 
-    def read(self, entries):
-        """The cluster state of a leader that were elected now."""
+    def load_cluster(self, entries):
+        """The cluster state of a leader that is elected now and reads these entries."""
         cluster = make_cluster()
         make_loader(cluster).load(entries, self.clock.now())
         return cluster
 
-    def follow(self):
-        changes = [change for change in self.service.log if change["mark"] > self.followed]
-        self.followed = self.service.revision
+    def update_followers(self):
+        """Applies the changes of the store since the last call to the job views."""
+        changes = [change for change in self.service.log if change["mark"] > self.followed_revision]
+        self.followed_revision = self.service.revision
         for change in changes:
             value = None if "remove" in change else msgspec.json.encode(change["v"])
             self.views.on_change(change.get("set") or change["remove"], value, change["mark"])
 
-    def nothing_is_lost(self):
-        self.follow()
+    def check_nothing_is_lost(self):
+        self.update_followers()
         entries = self.entries()
         late_views = JobViews()
         for entry in reversed(entries):
             late_views.on_change(entry.key, bytes(entry.value), entry.mod_revision)
-        cluster = self.read(entries[::-1])
+        cluster = self.load_cluster(entries[::-1])
         for job in cluster.jobs.values():
             for views in (self.views, late_views):
                 if job.is_open:
@@ -99,14 +104,14 @@
                 name, index = split_task(task)
                 if name == job.id:
                     assert job.task_states[index] == DONE or job.attempts.get(index, 0) >= attempt, task
-            for task in self.forgotten:
+            for task in self.forgotten_tasks:
                 name, index = split_task(task)
                 assert name != job.id or job.task_states[index] == DONE, task
-        self.placements_are_known(cluster)
+        self.check_placements(cluster)
 
-    def placements_are_known(self, cluster):
-        for machine, there in self.machines.items():
-            for (task, attempt), status in there.items():
+    def check_placements(self, cluster):
+        for machine, attempts in self.machines.items():
+            for (task, attempt), status in attempts.items():
                 name, index = split_task(task)
                 if status == ("running",) and name in cluster.jobs:
                     placed = cluster.jobs[name].placed.get(index)
@@ -120,7 +125,7 @@
 
 
 class ImmediateRequester:
-    """Requests that are carried out at once."""
+    """Executes each request on a state service immediately."""
 
     def __init__(self, service):
         self.service = service
@@ -130,7 +135,8 @@
 
 
 def record_starts(service, limits, machines):
-    """Jobs with a start on each of the named machines, after the state writer had time to record them."""
+    """Places a job on each of these machines and runs the state writer for long enough to record the starts.
+    Returns the cluster state and the state writer."""
     clock, cluster = ManualClock(), make_cluster()
     cluster.teams = {}
     service.clock = clock
@@ -150,7 +156,7 @@
 
 
 def test_an_oversized_value_delays_no_other_write_and_is_not_retried():
-    """A batch that contains it is rejected as a whole."""
+    """The store rejects the whole batch that contains the value."""
     service = StateService(ManualClock())
     service.lower_limits(0.5, 4)
     cluster, writer = record_starts(
@@ -158,10 +164,14 @@
         StateLimits(1e4, 1e4, 16.0, 12, LOWER_LIMITS),
         ["n-1", "n-2", "n-3" + "x" * 600, "n-4", "n-5"],
     )
-    recorded = [all(at.is_recorded for at in cluster.jobs[f"job-{n}"].placed.values()) for n in range(5)]
+    recorded = [
+        all(attempt.is_recorded for attempt in cluster.jobs[f"job-{number}"].placed.values())
+        for number in range(5)
+    ]
     assert recorded == [True, True, False, True, True]
     writes = [msgspec.json.encode(msgspec.json.decode(body)["writes"]) for body in service.rejected_for_size]
-    # In two batches, of which the first could have been made smaller, and by itself.
+    # The value is rejected in a batch, which is collected again under the lowered limit, in that second
+    # batch, and alone.
     assert len(set(writes)) == len(writes) == 3
     # It is tried again once it has changed.
     cluster.on_machine_terminated("n-3" + "x" * 600, "test")
@@ -171,18 +181,18 @@
 
 
 def test_a_transaction_refused_for_its_number_of_changes_is_split():
-    """Limits may be lowered without notice."""
+    """The state service may lower its limits without notice."""
     service = StateService(ManualClock())
     service.lower_limits(16, 2)
     cluster, _ = record_starts(
         service, StateLimits(1e4, 1e4, 16.0, 12), [f"n-{number}" for number in range(9)]
     )
-    assert all(at.is_recorded for job in cluster.jobs.values() for at in job.placed.values())
+    assert all(attempt.is_recorded for job in cluster.jobs.values() for attempt in job.placed.values())
 
 
 def recorded_job(tasks):
-    """A cluster with a job all of whose tasks are placed and recorded in one value, and the modification
-    revisions of the store."""
+    """Returns a cluster state with one job, all of whose tasks are placed and recorded in one value, and the
+    modification revisions of the keys in the store."""
     cluster, now = make_cluster(), seconds(1)
     cluster.teams = {}
     cluster.observe_job(JobRecord("open", spec(tasks=tasks), 64), 1)
@@ -194,7 +204,7 @@
 
 
 def test_what_was_recorded_before_a_split_stays_recorded():
-    """Starts that may be under way would be taken for never sent when their job is cancelled."""
+    """Otherwise starts that may be under way would count as never sent when their job is cancelled."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
     cluster._changes.mark_task_changed(job, 0)
@@ -205,7 +215,8 @@
 
 
 def test_an_overflow_range_of_a_cancelled_job_requires_its_base_range_to_be_unchanged():
-    """One that is written after the removal would stay for good, with placements."""
+    """Otherwise an overflow range written after the removal of the job's task ranges would stay forever, with
+    placements."""
     cluster, stored = recorded_job(40)
     cluster.observe_job(JobRecord("aborted", spec(tasks=40), 64), 9)
     cluster._changes.mark_task_changed(cluster.jobs["job-1"], 0)
@@ -217,11 +228,11 @@
 
 
 def test_an_empty_overflow_range_is_written():
-    """Without it the stale entries of the value to its left would count for its tasks again."""
+    """Without it the stale entries in the value of the range to its left would apply to its tasks again."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
     cluster._changes.mark_task_changed(job, 0)
-    # The last tasks have had no attempt.
+    # The tasks of the overflow range, which are the last ones, have had no attempt.
     for index in range(35, 40):
         job.placed.pop(index), job.attempts.pop(index)
     (write,) = cluster.collect_writes(1, stored, max_value_bytes=460).ranges
--- a/spindleglade/workers/views.py
+++ b/spindleglade/workers/views.py
@@ -1,4 +1,4 @@
-"""Views of machines and jobs that planning works on."""
+"""Builds the views of machines and jobs that planning passes work on."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -8,26 +8,26 @@
 from spindleglade.workers.jobs import Job, estimate
 from spindleglade.workers.machines import Machine, MachineTypeCapacity
 
-# Of a machine whose type is not known.
-UNKNOWN_TYPE = MachineTypeCapacity(0.0, 0.0, 0.0, 0.0, 1.0)
+# Stands in for the capacity of a machine type that is not known.
+UNKNOWN_TYPE_CAPACITY = MachineTypeCapacity(0.0, 0.0, 0.0, 0.0, 1.0)
 
 
 class JobCircumstances(NamedTuple):
-    """What planning takes into account of a job besides its own state."""
+    """The conditions of a job that planning takes into account besides the job's own state."""
 
-    # CPUs that one pass could at most fill.
+    # The CPUs that one pass can fill at most, which limits the number of waiting tasks in the view.
     max_cpus: float
     is_overdue: bool
     # Machines that a waiting task must not be placed on, by task number.
     excluded_machines: dict[int, set[str]]
-    # One task is tried alone.
+    # Whether only one task is offered, to test whether the job still fails.
     is_probe: bool
-    # Jobs that need it miss their deadlines unless it starts now.
+    # Whether dependents will miss their deadlines unless the job starts now.
     is_urgent: bool
 
 
 def machine_view(machine: Machine, capacity: MachineTypeCapacity) -> MachineView:
-    """The machine with its tasks and images; whether it is usable is set by the caller."""
+    """The view of a machine with its tasks and images. The caller sets `is_usable`."""
     tasks = []
     fetching = set()
     for attempt in machine.placed.values():
@@ -72,7 +72,7 @@
 
 
 def job_view(job: Job, machines: dict[str, Machine], circumstances: JobCircumstances) -> JobView:
-    """The job with as many of its waiting tasks as may be of use in one pass."""
+    """The view of a job with as many of its waiting tasks as one pass may place."""
     spec = job.spec
     if spec.is_gang:
         max_tasks = len(job.task_states)
@@ -109,7 +109,7 @@
 
 
 def _tasks_by_zone(job: Job, machines: dict[str, Machine]) -> dict[str, int]:
-    """How many tasks of the job are placed in each zone."""
+    """The number of placed tasks of the job, by zone. Machines that are not known have an empty zone."""
     zones: dict[str, int] = {}
     for attempt in job.placed.values():
         machine = machines.get(attempt.machine)
