--- a/spindleglade/workers/state_writer.py
+++ b/spindleglade/workers/state_writer.py
@@ -1,7 +1,7 @@
 """Writes the changes of the cluster state to the store in group commits, each conditional on the leader key.
 
-One transaction is in flight at a time. Every task range is conditional on its own mod_revision as well: a
-transaction whose outcome is unknown may be applied late, and must not undo a newer one.
+One transaction is in flight at a time. The write of a task range is also conditional on the range's own
+mod_revision: a transaction with an unknown outcome may be applied late and must not overwrite a newer one.
 """
 
 import logging
@@ -26,33 +26,33 @@
 
 log = logging.getLogger("spindleglade.workers")
 
-# How long changes that nobody waits for are gathered.
-LOW_PRIORITY_DELAY = seconds(0.1)
-# How soon a write that was not applied, or may not have been, is tried again.
+# How long background changes, which neither a start nor a user waits for, are gathered.
+BACKGROUND_WRITE_DELAY = seconds(0.1)
+# Delay before a write that was not applied, or has an unknown outcome, is tried again.
 RETRY_DELAY = seconds(0.3)
-# How long to wait after reading a job record that cannot be decoded.
+# Delay after reading a job record that cannot be decoded.
 MALFORMED_RECORD_DELAY = seconds(0.05)
 
 
 def _ignore_record(key: str, value: bytes, mod_revision: int) -> None:
-    """For a writer whose records nobody observes."""
+    """The default observer of job records, which does nothing."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateWriterEvents:
-    """Whom a state writer tells of what it finds in the store."""
+    """Callbacks for what a state writer learns from the store."""
 
-    # A batch is committed, or a job has changed: there may be commands to send.
+    # Called when a batch is committed or a job's record has been read: there may be commands to send.
     on_committed: Callable[[], None]
-    # Another controller leads; called with the reason.
+    # Called with the reason when another controller is the leader.
     on_deposed: Callable[[str], None]
-    # A job's record as the store holds it, by key, value and mod_revision. By a final one dependents are
-    # released without waiting for the watch.
+    # Called with the key, value and mod_revision of a job's record in the store. A final record releases the
+    # job's dependents without waiting for the watch.
     on_record_observed: Callable[[str, bytes, int], None] = _ignore_record
 
 
 class StateWriter:
-    """Writes what changes in the cluster state, batch by batch, until it is stopped or its leader deposed."""
+    """Writes the changes of the cluster state batch by batch, until stopped or its leader is deposed."""
 
     def __init__(
         self,
@@ -63,55 +63,56 @@
         mod_revisions: dict[str, int],
         events: StateWriterEvents,
     ) -> None:
-        """`mod_revisions` are those of the task ranges in the store, and are kept up to date."""
+        """`mod_revisions` maps the keys of the task ranges in the store to their modification revisions. The
+        writer keeps it up to date."""
         self._cluster = cluster
         self._client = client
         self._clock = clock
         self._term = term
-        # 0 for a key that may exist, since the outcome of its write is unknown.
+        # The revision is 0 for a key that may exist because the outcome of its write is unknown.
         self._mod_revisions = mod_revisions
         self._events = events
         self._batcher = WriteBatcher(cluster, client)
         self._stopped = False
-        self._loop = PeriodicTask(clock, "state_writer", self._write_next, self._until_next)
-        # How long the loop waits before it looks for changes again; None: until it is woken.
+        self._loop = PeriodicTask(clock, "state_writer", self._write_next_batch, self._wait_for_next_batch)
+        # How long the loop waits before it looks for changes again. None: it waits until it is woken.
         self._pause: timedelta | None = ZERO
         self._wakeup = Wakeup()
 
     def start(self) -> None:
-        """Begins to write what has changed."""
+        """Starts writing the pending changes."""
         self._loop.start()
 
     def stop(self) -> None:
-        """Ends the writing; the response to a transaction in flight is ignored."""
+        """Stops writing. The response to a transaction in flight is ignored."""
         self._stopped = True
         self._loop.stop()
         self.wake()
 
     @property
     def stall_reason(self) -> str | None:
-        """Why nothing is written, if so."""
+        """Why the writer makes no progress; None if it does."""
         return self._loop.stall_reason
 
     def wake(self) -> None:
-        """Looks for changes at once if the writer was waiting for some."""
+        """Makes the writer look for changes at once if it is waiting for changes."""
         self._wakeup.wake()
 
-    async def _until_next(self) -> None:
+    async def _wait_for_next_batch(self) -> None:
         if self._pause is None:
             await self._wakeup.wait()
         elif self._pause:
             await sleep(self._clock, self._pause)
 
-    async def _write_next(self) -> None:
-        """Writes one batch; what could not be written is put back."""
+    async def _write_next_batch(self) -> None:
+        """Writes one batch, and puts back the changes that could not be written."""
         self._pause = ZERO
         batch = self._batcher.collect(self._mod_revisions)
         try:
             await self._write_batch(batch)
         except Exception:
-            # All of it is written once more. What the store holds of it by now, and by which mod_revisions,
-            # its next response shows.
+            # The whole batch is written again, even if the store holds it by now: the next response shows
+            # which keys the store holds, and under which mod_revisions.
             self._cluster.requeue(batch)
             raise
 
@@ -144,8 +145,8 @@
     def _on_nothing_to_write(self, batch: WriteBatch) -> None:
         self._forget_finished_jobs(batch)
         if self._cluster.pending_writes:
-            # Only changes that nobody waits for: they are gathered until the store has capacity to spare.
-            self._pause = LOW_PRIORITY_DELAY
+            # Only background changes are left; they are gathered until the store has capacity to spare.
+            self._pause = BACKGROUND_WRITE_DELAY
         elif not batch.finished_jobs:
             self._pause = None
 
@@ -153,7 +154,7 @@
         log.info("batch not committed changes=%d reason=%s", batch.size, error)
         if isinstance(error, OutcomeUnknownError):
             for write in batch.ranges:
-                # The key may exist. If its job is cancelled meanwhile, it has to be removed.
+                # The key may exist, and must then be removed if the job is cancelled in the meantime.
                 self._mod_revisions.setdefault(write.key, 0)
         self._cluster.requeue(batch)
         self._pause = RETRY_DELAY
@@ -188,8 +189,8 @@
             self._cluster.forget_job(job)
 
     async def _read_conflicting_keys(self, result: ConditionFailed) -> None:
-        """Reads the keys whose mod_revisions are not as expected: a write whose outcome was unknown has been
-        applied, or a user has cancelled a job."""
+        """Reads the keys that do not have the expected mod_revisions. Either a write with an unknown outcome
+        has been applied, or a user has cancelled a job."""
         for key in result.failed:
             try:
                 entry = await self._client.get(key)
@@ -203,13 +204,13 @@
                 log.info("mod_revision not read key=%s reason=%s", key, error)
 
     async def _skip_job_record(self, key: str, reason: str) -> None:
-        """Leaves a record as it is that cannot be read, and pauses before the batch is tried again."""
+        """Skips a record that cannot be decoded or is missing, and pauses before the batch is tried again."""
         log.error("job record malformed key=%s reason=%s", key, reason)
         await sleep(self._clock, MALFORMED_RECORD_DELAY)
 
     async def _observe_job(self, key: str, entry: Entry | None) -> None:
-        """Applies a job's record as read from the store. The replica shows it too, but its watch may be
-        delayed by seconds, and until then every batch with a start of the job would fail its condition."""
+        """Applies a job's record as read from the store. The replica shows the record too, but its watch may
+        be delayed by seconds, and until then every batch with a start of the job would fail."""
         if entry is None:
             await self._skip_job_record(key, "the key does not exist")
             return
@@ -220,5 +221,5 @@
             return
         self._cluster.observe_job(record, entry.mod_revision)
         self._events.on_record_observed(key, bytes(entry.value), entry.mod_revision)
-        # There may be tasks to stop.
+        # If the job is cancelled, its tasks have to be stopped.
         self._events.on_committed()
--- a/spindleglade/workers/write_batch.py
+++ b/spindleglade/workers/write_batch.py
@@ -1,4 +1,4 @@
-"""What one transaction writes to the state service."""
+"""The contents of one transaction of the state service."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -9,38 +9,39 @@
 
 
 class TaskRangeId(NamedTuple):
-    """Names a task range by its job and its first task."""
+    """Identifies a task range by its job and the index of its first task."""
 
     job: str
     first_task: int
 
 
 class TaskRangeWrite(NamedTuple):
-    """The value of one task range, to be written."""
+    """The write or removal of one task range."""
 
     job: str
-    # Condition on the job's record; None: none.
+    # The modification revision that the job's record must have; None: the record is not a condition.
     job_mod_revision: int | None
     first_task: int
     version: int
     key: str
-    # None: nothing is left, and the key is removed. That of an overflow range never is while its job is in
-    # memory.
+    # The encoded task range. None: it has no entries left, and the key is removed. The key of an overflow
+    # range is never removed in this way while its job is in memory.
     value: msgspec.Raw | None
-    # A key whose modification revision is a condition as well; None: none.
+    # A second key that must be unchanged in the store; None: there is no such condition.
     required_key: str | None = None
 
 
 class CompletedJobWrite(NamedTuple):
-    """The final record of a job all of whose tasks are done."""
+    """The write of the final record of a job with all tasks done."""
 
     job: str
+    # The modification revision that the job's record must have.
     mod_revision: int
     record: JobRecord
 
 
 class TaskRangeRemoval(NamedTuple):
-    """The key of a task range to remove, of a job that is over."""
+    """The removal of the key of one task range of a finished job."""
 
     job: str
     key: str
@@ -50,11 +51,11 @@
 class WriteBatch:
     """The contents of one transaction."""
 
-    # In this order: a range comes after the overflow ranges to its right that are not in the store yet.
+    # The order matters: a range follows the overflow ranges to its right that are not in the store yet.
     ranges: list[TaskRangeWrite] = field(default_factory=list)
     done: list[CompletedJobWrite] = field(default_factory=list)
     removed: list[TaskRangeRemoval] = field(default_factory=list)
-    # The jobs that are over once the removals are committed.
+    # Ids of the jobs that can be forgotten once the removals are committed.
     finished_jobs: dict[str, None] = field(default_factory=dict)
 
     @property
--- a/spindleglade/workers/write_batcher.py
+++ b/spindleglade/workers/write_batcher.py
@@ -1,4 +1,4 @@
-"""Decides what goes into the next transaction: how many changes and bytes, and what is not sent again."""
+"""Chooses the contents of the next transaction: how many changes and bytes, and which are held back."""
 
 import logging
 
@@ -9,14 +9,14 @@
 
 log = logging.getLogger("spindleglade.workers")
 
-# Of the 64 KiB that a transaction may have, what its values may take; the rest is for keys and conditions.
+# The store accepts transactions of up to 64 KiB. This much is for values, the rest for keys and conditions.
 MAX_TRANSACTION_VALUE_BYTES = 40 * 1024
-# With more bytes of task ranges than this, the records of jobs that are done wait for the next batch.
+# If the task ranges take more than this, the records of done jobs wait for the next batch.
 MAX_RANGE_BYTES_WITH_DONE_RECORDS = MAX_TRANSACTION_VALUE_BYTES // 2
 
 
 class WriteBatcher:
-    """Collects batches that fit into one transaction, and makes them smaller when one fails."""
+    """Collects batches that fit into one transaction, and smaller batches after a failure."""
 
     def __init__(self, cluster: ClusterState, client: StateClient) -> None:
         self._cluster = cluster
@@ -24,15 +24,16 @@
         # The store allows four conditions for each change. A batch has one on the leader key and at most
         # three for each of its changes.
         self._max_changes = max(1, client.limits.operations - 1)
-        # The limit on values for which the latest batch was collected.
+        # The size limit of a value that applied when the latest batch was collected, in bytes.
         self._max_value_bytes = client.value_bytes
-        # What the latest batch that was too large would have written.
+        # The values of the latest batch that was rejected as too large; None: no batch was rejected so far.
         self._rejected_values: list[BatchValue] | None = None
-        # How many batches of a single change are still to come, after a larger batch failed.
+        # How many further batches are limited to a single change, after a larger batch failed.
         self._single_change_batches = 0
 
     def collect(self, mod_revisions: dict[str, int]) -> WriteBatch:
-        """Takes the next batch out of the cluster state's pending writes."""
+        """Takes the next batch out of the cluster state's pending writes. `mod_revisions` are those of the
+        task ranges in the store."""
         max_changes = 1 if self._single_change_batches else self._max_changes
         self._max_value_bytes = self._client.value_bytes
         return self._cluster.collect_writes(
@@ -40,19 +41,20 @@
         )
 
     def prepare(self, batch: WriteBatch) -> None:
-        """Makes a batch that has changes small enough to be sent."""
+        """Reduces a batch, which must not be empty, to a size that the store accepts."""
         self._limit_bytes(batch)
         self._single_change_batches = max(0, self._single_change_batches - 1)
 
     def was_rejected(self, batch: WriteBatch) -> bool:
-        """Whether the same was too large the last time that something was."""
+        """Whether the batch equals the latest batch that was rejected as too large."""
         return batch_values(batch) == self._rejected_values
 
     def on_too_large(self, batch: WriteBatch, reason: str) -> None:
-        """Puts back a batch that the store rejects for its size; it is never sent again unchanged.
+        """Puts back a batch that the store rejects as too large; it is never sent again unchanged.
 
-        What the limit now in force makes smaller is collected anew. Otherwise each change is tried by itself,
-        and one that is too large by itself waits until it changes.
+        If a value exceeds a limit that was lowered since the batch was collected, the batch is collected anew
+        under that limit. Otherwise each change is tried on its own, and a change that is too large on its own
+        is suspended until it changes.
         """
         self._rejected_values = batch_values(batch)
         limit = self._client.value_bytes
@@ -68,16 +70,16 @@
         self._cluster.requeue(batch)
 
     def isolate_failing_change(self, batch: WriteBatch) -> None:
-        """Has the changes of a batch that raised an unexpected error tried one by one, so that the others are
-        written; one that fails by itself waits until it changes."""
+        """Has the changes of a batch that raised an unexpected error written one by one, so that only the
+        failing change is held back. A change that fails on its own is suspended until it changes."""
         if batch.size > 1:
             self._single_change_batches = batch.size
         else:
             self._cluster.suspend_oversized_writes(batch)
 
     def _limit_bytes(self, batch: WriteBatch) -> None:
-        """Puts back what would make the transaction larger than the store accepts: eleven full task ranges of
-        a large job are twice as much, and would be rejected again and again."""
+        """Puts back the writes that would make the transaction larger than the store accepts. Eleven full
+        task ranges of a large job have twice that size, and would be rejected each time."""
         size, kept = 0, 0
         for write in batch.ranges:
             size += 0 if write.value is None else len(write.value)
--- a/spindleglade/workers/write_collection.py
+++ b/spindleglade/workers/write_collection.py
@@ -1,4 +1,4 @@
-"""Collects what one transaction writes to the state service."""
+"""Selects the pending writes for one transaction of the state service."""
 
 import logging
 from typing import NamedTuple
@@ -30,17 +30,17 @@
 
 
 class TransactionLimits(NamedTuple):
-    """What a transaction may contain."""
+    """Upper bounds on the contents of one transaction."""
 
     max_operations: int
-    # Of what nobody waits for; None: as much as fits.
+    # Limits the writes that neither a start nor a user waits for. None: only `max_operations` limits them.
     max_background_operations: int | None = None
-    # Larger values are split; None: any size.
+    # Larger task ranges are split and larger job records shortened. None: values may have any size.
     max_value_bytes: int | None = None
 
 
 class WriteCollection:
-    """Fills one batch from the pending writes. Called with the lock held, once."""
+    """Fills one batch from the pending writes. Used once, with the lock of the cluster state held."""
 
     def __init__(
         self,
@@ -50,7 +50,8 @@
         stored_revisions: dict[str, int],
         limits: TransactionLimits,
     ) -> None:
-        """`stored_revisions`: the modification revisions of the keys that the store holds."""
+        """`stored_revisions` maps the task range keys in the store to their modification revisions. The
+        revision is 0 for a key that may exist because the outcome of its write is unknown."""
         self._data = data
         self._changes = changes
         self._queue = queue
@@ -59,20 +60,21 @@
         self._batch = WriteBatch()
 
     def collect(self) -> WriteBatch:
-        """First the ends of jobs that others depend on, then task ranges with starts that wait for their
-        record, then other jobs that are done, whose users wait for that, then the rest."""
+        """Collects pending writes by priority: first the done jobs that other jobs depend on, then the task
+        ranges with starts that must be recorded before they are sent, then the remaining done jobs, since
+        their users wait for them, and last the background writes, which nobody waits for."""
         max_operations = self._limits.max_operations
-        self._collect_ends_with_dependents(max_operations)
+        self._collect_done_jobs_with_dependents(max_operations)
         self._collect_pending_starts(max_operations)
         if self._batch.size < max_operations:
-            background = self._collect_other_ends(max_operations)
+            background = self._collect_remaining_done_jobs(max_operations)
             self._collect_background(background)
-        # Jobs with task ranges left to remove are not forgotten yet.
+        # A job with pending writes still has task ranges to remove, so it is not forgotten yet.
         for job_id, _ in self._data.pending_writes:
             self._batch.finished_jobs.pop(job_id, None)
         return self._batch
 
-    def _collect_ends_with_dependents(self, max_operations: int) -> None:
+    def _collect_done_jobs_with_dependents(self, max_operations: int) -> None:
         for range_id in list(self._data.pending_writes):
             job = self._data.jobs.get(range_id.job)
             if (
@@ -82,23 +84,23 @@
                 and job.is_open
                 and job.is_complete
             ):
-                self._collect(range_id, max_operations)
+                self._collect_write(range_id, max_operations)
 
     def _collect_pending_starts(self, max_operations: int) -> None:
         for range_id in list(self._data.pending_start_writes):
             if self._batch.size >= max_operations:
                 break
-            self._collect(range_id, max_operations)
+            self._collect_write(range_id, max_operations)
 
-    def _collect_other_ends(self, max_operations: int) -> list[TaskRangeId]:
-        """Returns the pending writes that are no ends of jobs."""
+    def _collect_remaining_done_jobs(self, max_operations: int) -> list[TaskRangeId]:
+        """Collects the done jobs that are still pending. Returns all other pending writes."""
         background: list[TaskRangeId] = []
         for range_id in list(self._data.pending_writes):
             job = self._data.jobs.get(range_id.job)
             if job is None or not job.is_open or not job.is_complete:
                 background.append(range_id)
             elif self._batch.size < max_operations:
-                self._collect(range_id, max_operations)
+                self._collect_write(range_id, max_operations)
         return background
 
     def _collect_background(self, range_ids: list[TaskRangeId]) -> None:
@@ -108,33 +110,34 @@
         for range_id in range_ids:
             if self._batch.size >= max_operations:
                 break
-            self._collect(range_id, max_operations)
+            self._collect_write(range_id, max_operations)
 
-    def _collect(self, range_id: TaskRangeId, max_operations: int) -> None:
-        """Takes over a pending write, as far as it fits."""
+    def _collect_write(self, range_id: TaskRangeId, max_operations: int) -> None:
+        """Moves a pending write into the batch. Operations beyond the limit stay pending."""
         self._queue.remove(range_id)
         job = self._data.jobs.get(range_id.job)
         if job is not None and job.is_open and job.is_complete:
-            self._collect_end(job)
+            self._collect_done_job(job)
         elif job is None or (not job.is_open and not job.placed):
             self._collect_removals(range_id, max_operations)
         else:
-            self._collect_range(job, range_id.first_task, max_operations)
+            self._collect_task_range(job, range_id.first_task, max_operations)
 
-    def _collect_end(self, job: Job) -> None:
-        """The final record of a job all of whose tasks are done."""
+    def _collect_done_job(self, job: Job) -> None:
+        """Adds the final record of a job with all tasks done, unless the batch already contains it or the
+        store has rejected it as too large."""
         refused_revision = self._data.oversized_writes.get(TaskRangeId(job.id, DONE_RECORD))
-        if refused_revision == job.mod_revision or any(done == job.id for done, _, _ in self._batch.done):
+        if refused_revision == job.mod_revision or any(job_id == job.id for job_id, _, _ in self._batch.done):
             return
         record = JobRecord(JobState.OPEN, job.spec, job.range_size, job.accepted)
         record = final_record(record, JobState.DONE, self._limits.max_value_bytes)
         self._batch.done.append(CompletedJobWrite(job.id, job.mod_revision, record))
 
     def _collect_removals(self, range_id: TaskRangeId, max_operations: int) -> None:
-        """The removals of all task ranges of a job that is over."""
+        """Adds the removals of a finished job's task ranges. The job stays pending if some do not fit."""
         job_id = range_id.job
         if job_id in self._batch.finished_jobs:
-            # Collected for another of its task ranges.
+            # Another pending write of the job has already added them.
             return
         for key in self._stored_keys(job_id):
             if self._batch.size < max_operations:
@@ -144,7 +147,7 @@
         self._batch.finished_jobs[job_id] = None
 
     def _stored_keys(self, job_id: str) -> list[str]:
-        """The keys of a job that is over, in the order in which they may be removed."""
+        """The stored task range keys of a finished job, in the order in which they may be removed."""
         job = self._data.jobs.get(job_id)
         if job is not None:
             return [key for key in job.ranges.keys(job_id) if key in self._stored_revisions]
@@ -155,9 +158,9 @@
             if key.startswith(f"{prefix}{job_id}/")
         ]
 
-    def _collect_range(self, job: Job, first_task: int, max_operations: int) -> None:
-        """A task range, and before it the overflow ranges to its right that the store does not hold yet.
-        Without them its value would no longer speak for their tasks, and nothing else would."""
+    def _collect_task_range(self, job: Job, first_task: int, max_operations: int) -> None:
+        """Adds a task range, preceded by the overflow ranges to its right that the store does not hold yet.
+        Its new value no longer covers their tasks, so it must not be stored without them."""
         collected = {write.first_task for write in self._batch.ranges if write.job == job.id}
         if first_task in collected:
             return
@@ -168,15 +171,15 @@
             if is_refused and write.first_task == first_task:
                 return
             if is_refused or self._batch.size >= max_operations:
-                # All of it that is still pending is collected again the next time.
+                # The task range stays pending; the next batch collects it with the missing overflow ranges.
                 self._queue.requeue_range(job, first_task)
                 return
             self._queue.remove(range_id)
             self._batch.ranges.append(write)
 
     def _range_writes(self, job: Job, first_task: int, collected: set[int]) -> list[TaskRangeWrite]:
-        """The task range and the overflow ranges to its right that are not stored, from left to right, none
-        so large that it can be split."""
+        """The writes of a task range and of the overflow ranges to its right that are not stored yet, from
+        left to right. Ranges above the size limit are split first, as far as possible."""
         writes: list[TaskRangeWrite] = []
         while True:
             write = _encode_range_write(job, first_task)
@@ -192,7 +195,8 @@
                 return writes
 
     def _split_if_too_large(self, job: Job, write: TaskRangeWrite) -> bool:
-        """Whether it was split. The ranges fit in their longest form, so they need not be split again."""
+        """Splits the task range if its value exceeds the size limit, and returns whether it did. The parts
+        fit even in their longest form, so they are never split again under the same limit."""
         limit = self._limits.max_value_bytes
         if limit is None or write.value is None or len(write.value) <= limit:
             return False
@@ -216,10 +220,12 @@
     is_overflow = job.ranges.is_overflow(first_task)
     record = job.encode_range(first_task)
     if record is None and is_overflow:
-        # Without the overflow range the stale entries of its left neighbour would count again.
+        # An empty overflow range is stored as well: without it, the stale entries of the range to its left
+        # would count again.
         record = TaskRangeRecord()
-    # An overflow range of a cancelled job that is written late must find its base range as it was. Else it
-    # would stay for good: no revision of the job's record is a condition any more.
+    # The record of a cancelled job is no longer a condition. An overflow range of such a job requires its
+    # base range to be unchanged instead: otherwise a late write could store it after the base range was
+    # removed, and nothing would remove it again.
     required_key = (
         range_key(job.id, first_task // job.range_size) if is_overflow and not job.is_open else None
     )
--- a/spindleglade/workers/write_queue.py
+++ b/spindleglade/workers/write_queue.py
@@ -1,10 +1,10 @@
-"""What waits to be written to the state service, and what becomes of writes that were tried."""
+"""The queue of pending writes to the state service, and the outcomes of writes that were sent."""
 
 from spindleglade.workers.cluster_data import ClusterData
 from spindleglade.workers.jobs import Job
 from spindleglade.workers.write_batch import TaskRangeId, WriteBatch
 
-# In place of a first task: the record of a job that is done.
+# Stands for the final record of a done job in a `TaskRangeId`, in place of a first task.
 DONE_RECORD = -1
 
 
@@ -15,12 +15,13 @@
         self._data = data
 
     def remove(self, range_id: TaskRangeId) -> None:
-        """The task range is about to be written."""
+        """Takes a task range that is about to be written out of the queue."""
         self._data.pending_writes.pop(range_id, None)
         self._data.pending_start_writes.pop(range_id, None)
 
     def requeue_range(self, job: Job, first_task: int) -> None:
-        """The task range is still to be written, before others if a start in it waits for that."""
+        """Puts a task range back into the queue, with priority if it contains a start that must be recorded
+        before it is sent."""
         range_id = TaskRangeId(job.id, first_task)
         self._data.pending_writes[range_id] = None
         end = job.ranges.end(first_task)
@@ -30,7 +31,7 @@
             self._data.pending_start_writes[range_id] = None
 
     def requeue(self, batch: WriteBatch) -> None:
-        """Nothing of the batch was committed."""
+        """Puts back all writes of a batch that was not committed."""
         for write in batch.ranges:
             job = self._data.jobs.get(write.job)
             if job is None:
@@ -45,14 +46,15 @@
             self._data.pending_writes[TaskRangeId(job_id, 0)] = None
 
     def suspend_oversized(self, batch: WriteBatch) -> None:
-        """What the store refuses as too large though it was tried alone waits until it changes."""
+        """Suspends the single write of a batch, which the store rejected as too large or which raised an
+        error, until the write changes."""
         for write in batch.ranges:
             self._data.oversized_writes[TaskRangeId(write.job, write.first_task)] = write.version
         for job_id, mod_revision, _ in batch.done:
             self._data.oversized_writes[TaskRangeId(job_id, DONE_RECORD)] = mod_revision
 
     def on_range_committed(self, job_id: str, first_task: int, version: int) -> None:
-        """The store holds that version of the task range; starts in it may be sent."""
+        """Records that the store holds this version of a task range, so that the starts in it may be sent."""
         job = self._data.jobs.get(job_id)
         if job is None:
             return
