--- a/spindleglade/workers/api.py
+++ b/spindleglade/workers/api.py
@@ -1,8 +1,8 @@
 """The HTTP interface for workers: POST /v1/report, at any controller.
 
-The leader responds with its token and commands. Any other controller relays the heartbeat to the leader, many
-at a time, and returns its response. Where the leader cannot be reached, the controller may renew the worker's
-lease itself. A worker that another controller could serve better is redirected.
+The leader responds with its token and commands. A follower relays heartbeats to the leader in batches and
+returns the leader's responses. If it cannot reach the leader, it may renew a worker's lease itself. A worker
+that another controller can serve better is redirected.
 """
 
 import logging
@@ -25,21 +25,21 @@
 
 METHOD_NOT_ALLOWED = HttpResponse(405, b'{"error":"use POST"}')
 MALFORMED_HEARTBEAT = HttpResponse(400, b'{"error":"malformed report"}')
-# For the heartbeat of a machine that is terminated, or whose lease must expire.
+# The response to a machine that is terminated, or with a lease that must expire.
 LEASE_NOT_RENEWED = HttpResponse(503, b"", None)
-# The field of a redirect that names the controller to use; without it the worker chooses any other.
+# The field of a redirect that names the controller to use. Without it, the worker chooses another controller.
 REDIRECT_TARGET_FIELD = "foreman"
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderAccess:
-    """How a controller gets the leader's response to a heartbeat."""
+    """How a controller obtains the leader's response to a heartbeat."""
 
-    # The response where this controller leads; None where the worker's lease must not be renewed.
+    # Returns the response if this controller is the leader; None if the worker's lease must not be renewed.
     respond: Callable[[Heartbeat], HeartbeatResponse | None]
     is_leader: Callable[[], bool]
-    # The encoded response of a leader elsewhere, empty where the lease must not be renewed; None if it cannot
-    # be reached.
+    # Relays an encoded heartbeat and returns the leader's encoded response, which is empty if the worker's
+    # lease must not be renewed; None if the leader cannot be reached.
     relay: Callable[[bytes], Awaitable[bytes | None]]
 
 
@@ -56,7 +56,7 @@
         balancer: HeartbeatBalancer,
         isolation: IsolationDetector,
     ) -> None:
-        """`cancellation_freshness` is for renewals without the leader, which has its own."""
+        """`cancellation_freshness` limits renewals without the leader; the leader has its own."""
         self._leader = leader
         self._observe_token = observe_token
         self._balancer = balancer
@@ -66,11 +66,11 @@
 
     @property
     def renewed_without_leader(self) -> dict[str, timedelta]:
-        """Machines whose leases this controller has renewed without the leader, and when it last did."""
+        """When this controller last renewed the lease of each machine without the leader, by machine."""
         return self._leaderless.renewed_at
 
     async def handle(self, method: str, path: str, body: bytes) -> HttpResponse:
-        """Handles a request to the heartbeats' path."""
+        """Handles a request to the heartbeat path."""
         if method != "POST":
             return METHOD_NOT_ALLOWED
         try:
@@ -93,12 +93,13 @@
         return self._respond_without_leader(heartbeat, is_newest)
 
     def respond_as_leader(self, heartbeat: Heartbeat) -> bytes | None:
-        """The leader's encoded response, to heartbeats received here or relayed by a peer."""
+        """The leader's encoded response to a heartbeat received here or relayed by a peer; None if the lease
+        must not be renewed."""
         response = self._leader.respond(heartbeat)
         return None if response is None else msgspec.json.encode(response)
 
     def _is_newest(self, heartbeat: Heartbeat) -> bool:
-        """Whether it is newer than all heartbeats of its worker before, which it is remembered for."""
+        """Whether a heartbeat is the newest of its worker so far; if so, it is recorded as such."""
         position = (heartbeat.incarnation, heartbeat.sequence)
         if position <= self._newest_heartbeats.get(heartbeat.machine, (0, 0)):
             return False
@@ -119,6 +120,6 @@
 
 
 def _redirect(controller: str | None) -> HttpResponse:
-    """Has a worker use that controller, or any other one."""
+    """A response that redirects a worker to a controller; None: to any other controller."""
     target = {} if controller is None else {REDIRECT_TARGET_FIELD: controller}
     return HttpResponse(421, msgspec.json.encode(target))
--- a/spindleglade/workers/cancellation_freshness.py
+++ b/spindleglade/workers/cancellation_freshness.py
@@ -1,4 +1,4 @@
-"""How long a controller's knowledge of cancellations suffices to renew leases and to start tasks."""
+"""Limits how long a controller may renew leases and start tasks without news of cancellations."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -7,18 +7,18 @@
 
 
 class CancellationFreshness:
-    """The one rule for whoever renews leases or starts tasks.
+    """Decides whether the known cancellations are recent enough to renew leases and start tasks.
 
-    A cancellation that this controller does not know of was confirmed to its user after `known_as_of`, the
-    time at which the controller last asked whether it knew all of them. What it renews or starts within
-    `validity`, which is `cancel_s` less the lease and a margin, ends with a lease within `cancel_s` of that
-    confirmation; what it did later might not.
+    `known_as_of` is the time at which the controller last asked whether it knew all cancellations. One that
+    it does not know was confirmed to its user after that time. `validity` is `cancel_s` less the lease and a
+    margin. A lease renewed or a task started within `validity` of `known_as_of` ends, at the latest with the
+    worker's lease, within `cancel_s` of the confirmation. After that time it might not.
     """
 
     def __init__(
         self, clock: Clock, validity: timedelta, known_as_of: Callable[[], timedelta | None]
     ) -> None:
-        """`known_as_of` returns None while the cancellations are not known at all."""
+        """`known_as_of` returns None while the controller has not learned the cancellations at all."""
         self._clock = clock
         self._validity = validity
         self._known_as_of = known_as_of
--- a/spindleglade/workers/heartbeat_balancer.py
+++ b/spindleglade/workers/heartbeat_balancer.py
@@ -1,9 +1,10 @@
-"""Evens out which controllers the workers send their heartbeats to.
+"""Balances the workers' heartbeats among the controllers.
 
-Heartbeats are most of a deployment's traffic, and after a restart all of a controller's workers would stay
-with its peers for good. A controller that has more than its share redirects a few workers to a peer that has
-less. The leader has enough else to do, so its share is smaller. Nobody is redirected while a peer is away or
-has only just come back: a worker redirected to a controller that it cannot reach loses seconds of its lease.
+Heartbeats are most of a deployment's traffic, and after a controller restarts, its former workers would stay
+with its peers for good. A controller above its share of the workers redirects a few of them to a peer below
+its share. The leader's share is smaller because of its other work. No worker is redirected while a peer is
+unavailable or has only just come back: a worker redirected to a controller that it cannot reach loses seconds
+of its lease.
 """
 
 from datetime import timedelta
@@ -11,21 +12,21 @@
 
 from spindleglade.runtime.clock import Clock
 
-# The leader's share of the workers, where that of each other controller is one.
+# The leader's share of the workers, relative to a share of 1 for every other controller.
 LEADER_WEIGHT = 0.5
-# Workers redirected at most before the loads are compared again.
+# Maximum number of workers redirected before the loads are compared again.
 MAX_REDIRECTS = 8
-# A smaller excess of workers is not worth a redirect: so many, and so much of the controller's own.
+# Workers are redirected only if the excess is at least this many plus this fraction of the controller's own.
 MIN_EXCESS_WORKERS = 3
 MIN_EXCESS_SHARE = 0.1
-# A worker counts as the controller's own for so many heartbeat intervals after its latest heartbeat.
+# A worker counts as the controller's own for this many heartbeat intervals after its latest heartbeat.
 RECENT_HEARTBEAT_INTERVALS = 2
-# For how long a worker that was redirected and came back is not redirected again.
+# A worker that was redirected and came back is not redirected again for this long.
 REDIRECT_BACKOFF = timedelta(minutes=2)
 
 
 class ControllerLoad(NamedTuple):
-    """How many workers send their heartbeats to a controller."""
+    """The number of workers that send their heartbeats to a controller."""
 
     controller: str
     workers: int
@@ -33,7 +34,7 @@
 
     @property
     def weight(self) -> float:
-        """The controller's share in relation to that of others."""
+        """The controller's share of the workers, relative to the shares of the other controllers."""
         return LEADER_WEIGHT if self.is_leader else 1.0
 
 
@@ -43,7 +44,7 @@
     def __init__(
         self, clock: Clock, heartbeat_interval: timedelta, peer_count: int, stable_period: timedelta
     ) -> None:
-        """Redirects only once all peers have been there for `stable_period`."""
+        """No worker is redirected until all `peer_count` peers have been serving for `stable_period`."""
         self._clock = clock
         self._recent_period = heartbeat_interval * RECENT_HEARTBEAT_INTERVALS
         self._peer_count = peer_count
@@ -56,7 +57,7 @@
 
     @property
     def workers(self) -> int:
-        """How many workers send their heartbeats here."""
+        """The number of workers that send their heartbeats to this controller."""
         now = self._clock.now()
         self._last_heartbeats = {
             name: at for name, at in self._last_heartbeats.items() if now - at <= self._recent_period
@@ -64,11 +65,11 @@
         return len(self._last_heartbeats)
 
     def on_heartbeat(self, worker: str) -> None:
-        """A worker that is not redirected has sent a heartbeat."""
+        """Counts a worker that has sent a heartbeat and is not redirected."""
         self._last_heartbeats[worker] = self._clock.now()
 
     def rebalance(self, own: ControllerLoad, peers: list[ControllerLoad]) -> None:
-        """Decides anew how many workers are redirected, by the latest loads of the peers that serve."""
+        """Decides how many workers are redirected to each peer, by the latest loads of the serving peers."""
         self._pending_redirects = {}
         if not self._peers_are_stable(len(peers)):
             return
@@ -87,7 +88,7 @@
                 excess -= count
 
     def redirect_target(self, worker: str) -> str | None:
-        """The peer to which this worker is redirected now, if any."""
+        """The peer to which this worker is redirected now, which counts as a redirect; None if it stays."""
         if not self._pending_redirects:
             return None
         now = self._clock.now()
@@ -103,7 +104,7 @@
         return target
 
     def _peers_are_stable(self, serving_peers: int) -> bool:
-        """Whether all peers have been serving for long enough."""
+        """Whether all peers have been serving for the stable period."""
         if serving_peers < self._peer_count:
             self._all_peers_since = None
             return False
--- a/spindleglade/workers/heartbeat_reconciliation.py
+++ b/spindleglade/workers/heartbeat_reconciliation.py
@@ -1,9 +1,11 @@
-"""Heartbeats: what they say of machines and tasks is compared with what is placed, and answered.
-
-How a task comes to be taken off a machine is the heart of it. Silence proves nothing. Proof is: a heartbeat
-of the same incarnation under this leader's own token, newer than the last, that lacks the attempt while no
-start of it can be under way, or shows it exited; a newer incarnation; the cloud's word that the machine is
-terminated. Only then does a task wait again.
+"""Compares heartbeats with the placed attempts, updates the cluster state and selects the responses.
+
+A placed task waits again only on proof that its attempt is off the machine; silence proves nothing. Proof is
+one of:
+- a heartbeat of the same incarnation under this leader's own token, newer than the last one, that shows the
+  attempt exited, or does not list it while no start of it can be in flight
+- a heartbeat of a newer incarnation
+- the cloud's statement that the machine is terminated
 """
 
 import logging
@@ -21,12 +23,12 @@
 
 log = logging.getLogger("spindleglade.workers")
 
-# A machine that did not execute so many starts is taken to be unreachable.
+# A machine counts as unreachable once it has not executed this many starts of an attempt.
 MAX_LOST_STARTS = 2
 
 
 class HeartbeatReconciliation:
-    """Takes heartbeats into the cluster state and answers them. Called with the lock held."""
+    """Applies heartbeats to the cluster state and selects the responses. Called with the lock held."""
 
     def __init__(self, data: ClusterData, changes: StateChanges, commands: CommandSelection) -> None:
         self._data = data
@@ -35,9 +37,12 @@
         self._outcomes = AttemptOutcomes(data, changes)
 
     def on_heartbeat(self, heartbeat: Heartbeat, now: timedelta, renews_lease: bool) -> list[Command] | None:
-        """`renews_lease`: the worker sent the heartbeat by its own request and waits for the response, which
-        renews its lease and may carry commands; a status that the leader requested does not. Returns the
-        commands, or None if the machine is terminated or its lease must run out."""
+        """Applies a heartbeat. Returns the commands of the response, or None if the machine is terminated or
+        its lease must expire.
+
+        `renews_lease` is true if the worker sent the heartbeat in a request of its own: the response
+        renews the worker's lease and may carry commands. It is false for a status that the leader requested.
+        """
         if heartbeat.token > self._data.token:
             raise StaleTokenError(heartbeat.machine, heartbeat.token, self._data.token)
         if heartbeat.machine in self._data.terminated:
@@ -46,8 +51,8 @@
         if machine is None:
             machine = self._add_machine(heartbeat, now)
         if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
-            # A late copy, or overtaken by a newer one: its list is as old as it is, and it says nothing of
-            # how the machine is now. Answered all the same: the worker drops a response that it does not
+            # A late copy, or overtaken by a newer heartbeat: it does not show the present state of the
+            # machine and its tasks. It is answered all the same: the worker drops a response that it does not
             # wait for.
             return None if machine.unacknowledged_starts_of_cancelled_jobs() else []
         self._observe_arrival(machine, heartbeat, now, renews_lease)
@@ -81,7 +86,7 @@
     def _observe_arrival(
         self, machine: Machine, heartbeat: Heartbeat, now: timedelta, renews_lease: bool
     ) -> None:
-        """The machine lives, whatever the heartbeat says."""
+        """Records that the machine is alive, whatever the heartbeat lists."""
         self._data.last_heartbeat_at = machine.last_heartbeat_at = now
         if renews_lease:
             machine.last_own_heartbeat_at = now
@@ -92,11 +97,11 @@
             and heartbeat.incarnation == machine.incarnation
             and now - machine.unreachable_since > policy.lease + policy.heartbeat_interval
         ):
-            # Its lease would have run out, had no response reached it since.
+            # If no response had reached the machine since then, its lease would have expired.
             machine.unreachable_since = None
 
     def _is_unchanged(self, machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Most heartbeats say what the one before said, and no command is pending."""
+        """Whether the heartbeat repeats the previous one and no command is pending, as is usual."""
         return (
             machine.reconciled_tasks is not None
             and heartbeat.incarnation == machine.incarnation
@@ -109,8 +114,8 @@
         self, machine: Machine, heartbeat: Heartbeat, now: timedelta
     ) -> list[Command] | None:
         if machine.unacknowledged_starts_of_cancelled_jobs():
-            # Nothing takes such a start back but the end of the incarnation: were the lease renewed until the
-            # cloud terminates the machine, a start held up for a minute would run a cancelled task.
+            # Only the end of the incarnation invalidates such a start. If the lease were renewed until the
+            # cloud terminates the machine, a start delayed by a minute would run a cancelled task.
             return None
         machine.last_response_at = now
         commands = self._commands.commands_for(machine, heartbeat.sequence)
@@ -120,7 +125,7 @@
 
     @staticmethod
     def _is_reconciled(machine: Machine) -> bool:
-        """Whether its latest heartbeat lists just what is placed there."""
+        """Whether the latest heartbeat lists exactly the placed attempts, and nothing is pending."""
         return (
             machine.acknowledged_token
             and machine.terminates_at is None
@@ -139,20 +144,21 @@
     ) -> None:
         if heartbeat.incarnation > machine.incarnation:
             self._begin_incarnation(machine, heartbeat.incarnation, now)
-        # Under this token, commands of former leaders can no longer be executed.
-        is_current = heartbeat.token == self._data.token
-        self._update_machine(machine, heartbeat, is_current)
+        # A worker that has this leader's token no longer executes commands of former leaders.
+        has_current_token = heartbeat.token == self._data.token
+        self._update_machine(machine, heartbeat, has_current_token)
         self._observe_termination_notice(machine, heartbeat.warning_s, now)
         unmatched = {(status.task, status.attempt): status for status in heartbeat.tasks}
         listed = set(unmatched)
         sequence = heartbeat.sequence if renews_lease else None
-        self._reconcile_placed(machine, unmatched, sequence, is_current, now)
+        self._reconcile_placed(machine, unmatched, sequence, has_current_token, now)
         machine.unexpected_attempts.clear()
         for key in [key for key in machine.exited if key not in listed]:
-            # Forgotten by the worker. An unacknowledged start of it could still arrive, so that entry stays.
+            # The worker has forgotten the attempt. Its entry in `unacknowledged_starts` stays, since such a
+            # start could still arrive.
             del machine.exited[key]
-        # While a command of a former leader may still be under way, attempts that are not placed are let be.
-        if is_current:
+        # While a command of a former leader may still be in flight, unexpected attempts are left alone.
+        if has_current_token:
             for key, status in unmatched.items():
                 if key not in machine.exited:
                     self._outcomes.on_unexpected_attempt(machine, key, status)
@@ -161,10 +167,10 @@
         elif machine.idle_since is None:
             machine.idle_since = now
 
-    def _update_machine(self, machine: Machine, heartbeat: Heartbeat, is_current: bool) -> None:
+    def _update_machine(self, machine: Machine, heartbeat: Heartbeat, has_current_token: bool) -> None:
         if (
             heartbeat.tasks != machine.tasks
-            or machine.acknowledged_token != (machine.acknowledged_token or is_current)
+            or machine.acknowledged_token != (machine.acknowledged_token or has_current_token)
             or (heartbeat.warning_s is None) != (machine.terminates_at is None)
         ):
             self._changes.mark_machine_changed(machine)
@@ -172,18 +178,18 @@
         machine.address, machine.type = heartbeat.address, heartbeat.type
         machine.zone, machine.spot = heartbeat.zone, heartbeat.spot
         machine.sequence, machine.tasks = heartbeat.sequence, heartbeat.tasks
-        if is_current:
+        if has_current_token:
             machine.acknowledged_token = True
 
     def _observe_termination_notice(self, machine: Machine, warning_s: float | None, now: timedelta) -> None:
-        """The machine has, or has not, been notified how soon the cloud takes it away."""
+        """Applies a notice that the cloud terminates the machine in `warning_s` seconds; None: no notice."""
         if warning_s is None:
             machine.terminates_at = None
             return
         if machine.terminates_at is None:
             log.info("machine terminates machine=%s warning_s=%.1f", machine.name, warning_s)
         machine.terminates_at = now + timedelta(seconds=max(0.0, warning_s))
-        # Tasks that can save do so while the machine still runs; the others may yet finish.
+        # Tasks that can save their work do so while the machine still runs. Other tasks may still finish.
         for attempt in machine.placed.values():
             spec = attempt.job.spec
             if attempt.stop_reason is None and spec.checkpoint_s > 0:
@@ -194,10 +200,10 @@
         machine: Machine,
         unmatched: dict[AttemptKey, TaskStatus],
         sequence: int | None,
-        is_current: bool,
+        has_current_token: bool,
         now: timedelta,
     ) -> None:
-        """Compares the placed attempts with those listed, and takes them out of `unmatched`. `sequence` is
+        """Compares the placed attempts with the listed ones, and removes them from `unmatched`. `sequence` is
         None if the heartbeat renews no lease."""
         for attempt in list(machine.placed.values()):
             if attempt.incarnation < machine.incarnation:
@@ -207,12 +213,12 @@
                 continue
             key = (attempt.task, attempt.attempt)
             status = unmatched.pop(key, None)
-            sent_with = attempt.start_sent_with_sequence
-            if sequence is not None and sent_with is not None and sequence > sent_with:
+            start_sequence = attempt.start_sent_with_sequence
+            if sequence is not None and start_sequence is not None and sequence > start_sequence:
                 self._observe_start_result(machine, attempt, status is not None, now)
             if status is not None:
                 self._outcomes.on_attempt_listed(machine, attempt, status, now)
-            elif is_current:
+            elif has_current_token:
                 self._outcomes.on_attempt_missing(machine, attempt, key)
             if not attempt.has_ended and (not attempt.is_confirmed or attempt.stop_reason is not None):
                 self._data.dispatch_queue[machine.name] = None
@@ -220,8 +226,8 @@
     def _observe_start_result(
         self, machine: Machine, attempt: Attempt, is_listed: bool, now: timedelta
     ) -> None:
-        """The worker has one heartbeat under way at a time: the response that carried the start has been
-        executed or dropped by now."""
+        """Records whether a start sent in a response was executed. A worker has one heartbeat in flight at a
+        time, so it has executed or dropped the response that carried the start by now."""
         attempt.start_sent_with_sequence = None
         if is_listed:
             return
@@ -230,10 +236,10 @@
             self._changes.mark_unreachable(machine, now, "starts not executed")
 
     def _begin_incarnation(self, machine: Machine, incarnation: int, now: timedelta) -> None:
-        """The worker's lease expired, and it killed and forgot all its tasks."""
+        """Applies a newer incarnation: the worker's lease expired, and it killed and forgot all its tasks."""
         self._changes.mark_machine_changed(machine)
         if machine.last_response_at is not None and now - machine.last_response_at < self._data.policy.lease:
-            # Its heartbeats were answered all the time, yet its lease expired.
+            # The leader sent a response less than one lease ago, yet the lease expired.
             self._changes.mark_unreachable(machine, now, "lease expired though heartbeats were answered")
         machine.last_response_at = None
         for attempt in list(machine.placed.values()):
--- a/spindleglade/workers/heartbeat_relay.py
+++ b/spindleglade/workers/heartbeat_relay.py
@@ -1,7 +1,7 @@
 """Relays workers' heartbeats to the leader, many in one message.
 
-Hundreds of heartbeats arrive in a second. Relayed one by one, each would cost the leader a message to receive
-and one to send; gathered for a moment they cost it little more than their decoding.
+Hundreds of heartbeats arrive per second. Relayed one by one, each would cost the leader one message received
+and one sent. Relayed in batches, they cost it little more than their decoding.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -13,23 +13,24 @@
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import Clock
 
-# With this a message between controllers is well below its limit, however large the last heartbeat is.
-MAX_MESSAGE_BYTES = 256 * 1024
+# A batch is relayed as soon as it has this size. However large its last heartbeat is, the message then stays
+# well below the size limit between controllers.
+FLUSH_THRESHOLD_BYTES = 256 * 1024
 
-# Takes heartbeats to the leader and returns its responses, in order; None if it could not be reached. The
-# response to a heartbeat that the leader does not renew the lease for is empty.
+# Sends heartbeats to the leader and returns its responses in the same order; None if the leader could not be
+# reached. A response is empty if the leader does not renew the lease.
 SendToLeader = Callable[[list[bytes]], Awaitable[Sequence[bytes | None] | None]]
 
 
 class PendingHeartbeat(NamedTuple):
-    """An encoded heartbeat, and who waits for the response to it."""
+    """An encoded heartbeat and the deferred response to it."""
 
     body: bytes
     response: Deferred[bytes | None]
 
 
 class HeartbeatRelay:
-    """Gathers heartbeats for a short window, and relays them together."""
+    """Gathers heartbeats for a short window and relays them in one message."""
 
     def __init__(self, clock: Clock, window: timedelta, send_to_leader: SendToLeader) -> None:
         self._clock = clock
@@ -40,11 +41,11 @@
         self._timer: object | None = None
 
     async def send(self, heartbeat: bytes) -> bytes | None:
-        """The leader's response; None if it cannot be reached."""
+        """Relays a heartbeat and returns the leader's response; None if the leader cannot be reached."""
         response: Deferred[bytes | None] = Deferred()
         self._pending.append(PendingHeartbeat(heartbeat, response))
         self._pending_bytes += len(heartbeat)
-        if self._pending_bytes >= MAX_MESSAGE_BYTES:
+        if self._pending_bytes >= FLUSH_THRESHOLD_BYTES:
             self._flush()
         elif self._timer is None:
             self._timer = self._clock.later(self._window, self._on_window_elapsed)
--- a/spindleglade/workers/isolation_detector.py
+++ b/spindleglade/workers/isolation_detector.py
@@ -1,21 +1,22 @@
-"""Tells whether only this controller is isolated, so that its workers had better use another one."""
+"""Detects that only this controller is isolated, and its workers should use another controller."""
 
 from collections.abc import Callable
 from datetime import timedelta
 
 from spindleglade.runtime.clock import Clock
 
-# For how many leases a worker that was redirected and came back is not redirected again: it found no other
-# controller.
+# A worker that was redirected and came back found no other controller. It is not redirected again for this
+# many leases.
 REDIRECT_BACKOFF_LEASES = 2
 
 
 class IsolationDetector:
-    """Decides, for a controller that has lost the store and all peers, which workers it redirects.
+    """Decides which workers are redirected by a controller that has lost the store and all peers.
 
-    It may renew their leases without the leader, but it has no commands for them. If only this controller is
-    isolated, every other one serves them better; if its whole zone is, there is no other. Workers of other
-    zones that still reach this controller show that its zone is not isolated.
+    The isolated controller may renew leases without the leader, but it has no commands for the workers. If
+    only this controller is isolated, any other controller serves them better. If its whole zone is isolated,
+    its workers reach no other controller. Heartbeats of workers in other zones show that the zone is not
+    isolated.
     """
 
     def __init__(
@@ -34,8 +35,7 @@
         self._redirected_at: dict[str, timedelta] = {}
 
     def should_redirect(self, worker: str, zone: str) -> bool:
-        """Whether a worker of that zone, which has just sent a heartbeat, is redirected to any other
-        controller."""
+        """Whether a worker in `zone` that has just sent a heartbeat is redirected to any other controller."""
         since, now = self._isolated_since(), self._clock.now()
         if since is None:
             self._redirected_at.clear()
--- a/spindleglade/workers/leaderless_renewal.py
+++ b/spindleglade/workers/leaderless_renewal.py
@@ -1,8 +1,9 @@
 """Decides whether a controller renews a worker's lease while it cannot reach the leader.
 
 The lease is renewed with the worker's own token and without commands, so that neither an outage of the store
-nor the loss of a leader costs running work. That is permitted only for so long that, if users meanwhile
-cancel jobs at other controllers, the lease still ends within the time that a cancellation may take.
+nor the loss of a leader costs running work. Renewals are permitted for a limited time only: if users cancel
+jobs at other controllers in the meantime, the lease must still end within the time that a cancellation may
+take.
 """
 
 import logging
@@ -20,17 +21,17 @@
 
 
 class RenewalDecision(Enum):
-    """What a controller without the leader does about a worker's lease."""
+    """What a controller that cannot reach the leader does about a worker's lease."""
 
     RENEW = auto()
-    # Any other controller serves the worker better.
+    # The worker is redirected, since any other controller serves it better.
     REDIRECT = auto()
     # The lease has to expire.
     WITHHOLD = auto()
 
 
 class LeaderlessRenewal:
-    """Decides by what this controller knows of cancellations, and remembers which leases it renewed."""
+    """Decides on renewals by the cancellations known to this controller, and records the renewed leases."""
 
     def __init__(
         self,
@@ -47,18 +48,22 @@
         self.renewed_at: dict[str, timedelta] = {}
 
     def decide(self, heartbeat: Heartbeat, is_newest: bool) -> RenewalDecision:
-        """Whether to renew the lease of a heartbeat's worker. A late copy of a heartbeat says nothing of how
-        the machine is now: no lease is renewed for it, and the leader is not told that the machine lives."""
+        """Decides on the lease of the worker that sent a heartbeat.
+
+        `is_newest` is false for a late copy of a heartbeat, which does not show the present state of the
+        machine: no lease is renewed for it, and the leader is not told that the machine is alive.
+        """
         if not is_newest or not self._cancellation_freshness.permits_renewals:
             return RenewalDecision.WITHHOLD
         if self._views.may_run_cancelled_task(heartbeat.machine, heartbeat.incarnation):
-            # A start of such a task may be on its way there, however long it has been delayed. Only the end
-            # of the incarnation rules that out, and without the leader nobody could stop the task.
+            # A start of a cancelled task may still be in flight to the machine, however long it has been
+            # delayed. Only the end of the incarnation rules that out, and without the leader no controller
+            # can stop the task.
             return RenewalDecision.WITHHOLD
         if self._isolation.should_redirect(heartbeat.machine, heartbeat.zone):
             return RenewalDecision.REDIRECT
         if self._runs_cancelled_job(heartbeat):
-            # Without the leader nobody stops it, so its lease has to end.
+            # Without the leader no controller can stop the task, so the lease has to expire.
             return RenewalDecision.WITHHOLD
         self.renewed_at[heartbeat.machine] = self._clock.now()
         log.debug("lease renewed without leader machine=%s token=%d", heartbeat.machine, heartbeat.token)
--- a/spindleglade/workers/messages.py
+++ b/spindleglade/workers/messages.py
@@ -8,7 +8,7 @@
 
 
 class TaskState(StrEnum):
-    """State of a task that a worker reports. The protocol may add others, which count as on the machine."""
+    """The state of an attempt in a heartbeat. The protocol may add states, which count as on the machine."""
 
     FETCHING = "pulling"
     RUNNING = "running"
@@ -16,12 +16,12 @@
     EXITED = "exited"
 
 
-# Looked up once: it is compared with each task of each heartbeat.
+# Looked up once, since it is compared with every attempt of every heartbeat.
 _EXITED = TaskState.EXITED
 
 
 class Operation(StrEnum):
-    """What a command has a worker do with an attempt of a task."""
+    """What a command makes a worker do with an attempt of a task."""
 
     START = "start"
     STOP = "stop"
@@ -30,13 +30,13 @@
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
-    """One attempt of a task in a heartbeat."""
+    """The status of one attempt of a task in a heartbeat."""
 
     task: str = msgspec.field(name="thread")
     attempt: int = msgspec.field(name="try")
-    # A TaskState, or one that is not known here.
+    # A `TaskState`, or a state that this version does not know.
     state: str = msgspec.field(name="stage")
-    # Of an exited attempt: why it ended, and whether it saved its work.
+    # Set for an exited attempt: why it ended, and whether it saved its work.
     cause: str | None = None
     saved: bool | None = None
 
@@ -47,20 +47,21 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """A worker's regular message, with the machine that it runs on and the status of its tasks."""
+    """A worker's periodic message, with the machine that it runs on and the status of its attempts."""
 
     machine: str = msgspec.field(name="spindle")
     address: str = msgspec.field(name="addr")
     type: str = msgspec.field(name="frame")
     zone: str = msgspec.field(name="glade")
     spot: bool = msgspec.field(name="windfall")
-    # Counts the worker's expired leases, and its heartbeats since the latest of them.
+    # Incremented each time the worker's lease expires.
     incarnation: int = msgspec.field(name="spin")
+    # Incremented with each heartbeat of an incarnation.
     sequence: int = msgspec.field(name="tally")
-    # The highest that the worker has seen.
+    # The highest fencing token that the worker has seen.
     token: int = msgspec.field(name="baton")
     tasks: list[TaskStatus] = msgspec.field(name="threads", default_factory=list)
-    # Seconds until the cloud takes the machine away, once it has announced that.
+    # Seconds until the cloud terminates the machine; None: no termination is announced.
     warning_s: float | None = None
 
 
@@ -70,19 +71,20 @@
     operation: Operation = msgspec.field(name="verb")
     task: str = msgspec.field(name="thread")
     attempt: int = msgspec.field(name="try")
-    # Of a stop: how long the task may take to save its work.
+    # For a stop: how many seconds the task may take to save its work.
     grace_period_s: float | None = msgspec.field(name="slack_s", default=None)
 
 
 class HeartbeatResponse(msgspec.Struct, frozen=True):
-    """Renews the worker's lease; the token is the leader's, or without a leader the worker's own."""
+    """Renews the worker's lease. The token is the leader's, or the worker's own in a renewal without the
+    leader."""
 
     token: int = msgspec.field(name="baton")
     commands: list[Command] = msgspec.field(name="orders", default_factory=list)
 
 
 class CommandBatch(msgspec.Struct, frozen=True):
-    """Commands that the leader sends straight to a worker; they are valid in one incarnation only."""
+    """Commands that the leader sends directly to a worker. They are valid in one incarnation only."""
 
     token: int = msgspec.field(name="baton")
     incarnation: int = msgspec.field(name="spin")
@@ -93,16 +95,16 @@
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """Raises msgspec.DecodeError on anything malformed."""
+    """Decodes a heartbeat. Raises msgspec.DecodeError if it is malformed."""
     return decode(_heartbeat_decoder.decode, body)
 
 
 def task_name(job: str, index: int) -> str:
-    """The name by which a worker knows a task of a job."""
+    """The name of a task of a job in the protocol."""
     return f"{job}/{index}"
 
 
 def split_task(task: str) -> tuple[str, int]:
-    """The job and index of a task's name. Raises ValueError on anything else."""
+    """The job and the index in a task name. Raises ValueError if the index is not a number."""
     job, _, index = task.rpartition("/")
     return job, int(index)
--- a/spindleglade/workers/state_changes.py
+++ b/spindleglade/workers/state_changes.py
@@ -1,4 +1,4 @@
-"""Elementary changes of the cluster state that several of its parts make, with the lock held."""
+"""Basic changes of the cluster state that several components make, with the lock held."""
 
 import logging
 from datetime import timedelta
@@ -13,26 +13,26 @@
 
 
 class StateChanges:
-    """Changes to machines, attempts and jobs that leave no follow-up undone: what they make necessary to
-    write, to send or to plan anew is queued."""
+    """Changes to machines, attempts and jobs. Each change also queues the writes, commands and planning that
+    it makes necessary."""
 
     def __init__(self, data: ClusterData) -> None:
         self._data = data
 
     def mark_machine_changed(self, machine: Machine) -> None:
-        """Something that planning sees on the machine has changed."""
+        """Records a change of the machine that planning has to take into account."""
         machine.planning_view = machine.reconciled_tasks = None
         self._data.change_count += 1
 
     def mark_task_changed(self, job: Job, index: int) -> None:
-        """The task range of the task is to be written."""
+        """Queues the write of the task range that contains a task."""
         first_task = job.ranges.start(index)
         job.versions[first_task] = job.versions.get(first_task, 0) + 1
         self._data.pending_writes[TaskRangeId(job.id, first_task)] = None
         self._data.change_count += 1
 
     def stop_attempt(self, attempt: Attempt, reason: str, grace_period_s: float) -> None:
-        """The attempt is to be stopped by a command."""
+        """Marks an attempt to be stopped by a command, with `grace_period_s` seconds to save its work."""
         attempt.stop_reason, attempt.grace_period_s = reason, grace_period_s
         machine = self._data.machines.get(attempt.machine)
         if machine is not None:
@@ -40,8 +40,8 @@
             self._data.dispatch_queue[machine.name] = None
 
     def end_attempt(self, attempt: Attempt, reason: EndReason | None) -> None:
-        """The attempt is proven off its machine (or was never sent there). Without a reason nothing is
-        logged."""
+        """Ends an attempt that is proven to be off its machine or was never sent there. Without a reason, the
+        end is not logged."""
         if attempt.has_ended:
             return
         attempt.has_ended = True
@@ -64,20 +64,20 @@
         self.mark_task_changed(job, attempt.index)
 
     def end_unsent_attempts(self, job: Job, reason: EndReason) -> None:
-        """Starts that wait for their record were never sent, and now never will be."""
+        """Ends the attempts with an unrecorded start, which was never sent and now will not be sent."""
         for attempt in list(job.placed.values()):
             if not attempt.is_confirmed and not attempt.is_recorded:
                 self.end_attempt(attempt, reason)
 
     def queue_removal(self, job: Job) -> None:
-        """The task ranges of a job that is over and on no machine are to be removed from the store."""
+        """Queues the removal of a finished job's stored task ranges, if none of its tasks is on a machine."""
         if not job.is_open and not job.placed:
             self._data.pending_writes[TaskRangeId(job.id, 0)] = None
 
     def finish_job(self, job: Job) -> None:
-        """The record says that the job is done."""
-        # A record older than this one, observed late, may have opened the job again; what was placed then
-        # would hold its capacity for good.
+        """Applies a record that says that the job is done."""
+        # An older record, observed late, may have reopened the job. Attempts placed since then would occupy
+        # their capacity for good.
         self.end_unsent_attempts(job, EndReason.JOB_DONE)
         job.finished = True
         job.mark_all_committed()
@@ -85,8 +85,9 @@
         log.info("job done job=%s", job.id)
 
     def mark_unreachable(self, machine: Machine, now: timedelta, reason: str) -> None:
-        """Heartbeats of a machine do not show that commands reach it. Nothing more is placed there until
-        something shows that they do; its tasks are moved only on proof that they are over."""
+        """Marks a machine as unreachable because its heartbeats do not show that commands reach it. Nothing
+        more is placed there until there is a sign that they do. Its tasks are moved only on proof that they
+        have ended."""
         if machine.unreachable_since is None:
             log.info("machine unreachable machine=%s reason=%s", machine.name, reason)
             machine.unreachable_since = now
--- a/spindleglade/workers/state_recovery.py
+++ b/spindleglade/workers/state_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of the cluster state from the task ranges that a former leader stored."""
+"""Recovers the cluster state from the task ranges that a former leader stored."""
 
 import logging
 from datetime import timedelta
@@ -13,16 +13,19 @@
 
 log = logging.getLogger("spindleglade.workers")
 
-# By so many attempts a task that a job was probed with is ahead of all others of the job.
+# The task that a job is probed with has at least this many attempts more than any other task of the job.
 PROBE_ATTEMPT_LEAD = 2
 
 
 def _was_probing(job: Job) -> bool:
-    """Whether the attempts on record show that a former leader tried one task of the job at a time, because
-    it failed everywhere: the first task, which is the one tried, has had several attempts more than each
-    other one, no other is placed, and none is done. What was lost with machines or leases does not look so,
-    since all that ran have then lost about as many; tasks that save may, being stopped and started again with
-    nothing wrong."""
+    """Whether the recorded attempts show that a former leader was probing the job with its first task alone,
+    because the job had failed on every machine.
+
+    The first task then has several attempts more than any other task, no other task is placed, and none is
+    done. Attempts lost with machines or leases do not look like this, since all tasks that ran have lost
+    about the same number. Tasks that save their work can look like this, since they are stopped and started
+    again without any failure, so their jobs are excluded.
+    """
     spec = job.spec
     probe_attempts = job.attempts.get(0, 0)
     if probe_attempts <= PROBE_ATTEMPT_LEAD or job.done or spec.is_gang or spec.checkpoint_s > 0:
@@ -34,20 +37,20 @@
 
 
 class StateRecovery:
-    """Loads stored task ranges; only for the first reading. Called with the lock held."""
+    """Loads the stored task ranges when a new leader first reads the store. Called with the lock held."""
 
     def __init__(self, data: ClusterData, changes: StateChanges) -> None:
         self._data = data
         self._changes = changes
 
     def add_overflow_range(self, job_id: str, first_task: int) -> None:
-        """The store holds an overflow range; all are to be added before any value is loaded."""
+        """Adds a stored overflow range to its job. All of them must be added before any value is loaded."""
         job = self._data.jobs.get(job_id)
         if job is not None:
             job.ranges.add(first_task)
 
     def load_range(self, job_id: str, number: int, record: TaskRangeRecord, now: timedelta) -> None:
-        """Loads a task range by its number."""
+        """Loads a task range by its number within the job."""
         job = self._data.jobs.get(job_id)
         self._load(job_id, 0 if job is None else number * job.range_size, record, now)
 
@@ -60,10 +63,10 @@
     def _load(self, job_id: str, first_task: int, record: TaskRangeRecord, now: timedelta) -> None:
         job = self._data.jobs.get(job_id)
         if job is None:
-            # The job is done; what is left of its values is to be removed.
+            # The job is done; its remaining values are to be removed from the store.
             self._data.pending_writes[TaskRangeId(job_id, 0)] = None
         elif first_task < len(job.task_states):
-            # Beyond its end a value is stale: an overflow range speaks for those tasks.
+            # Entries beyond the end of the range are stale: an overflow range covers those tasks.
             self._load_tasks(job, record.restricted_to(first_task, job.ranges.end(first_task)), now)
 
     def _load_tasks(self, job: Job, record: TaskRangeRecord, now: timedelta) -> None:
@@ -72,7 +75,7 @@
                 job.task_states[index] = DONE
                 job.done += 1
         if record.done or record.placed:
-            # The time of its latest start is not on record.
+            # The time of the job's latest start is not recorded.
             job.waiting_since = now
         job.attempts.update(record.tried)
         for index, stored in record.placed.items():
@@ -95,8 +98,8 @@
         job.placed[index] = attempt
         machine = self._data.machines.get(stored.machine)
         if machine is None:
-            # Without any heartbeat yet. It counts as if one had come now, so that it gets a full lease to
-            # send the first.
+            # The machine has sent no heartbeat to this leader yet. It is treated as if one had come now, so
+            # that it has a full lease to send its first.
             machine = Machine(
                 stored.machine, "", "", "", True, last_heartbeat_at=now, last_own_heartbeat_at=now
             )
@@ -105,7 +108,7 @@
         self._changes.mark_machine_changed(machine)
 
     def finish_loading(self) -> None:
-        """All that is stored has been loaded: queues what a former leader left undone."""
+        """Queues what a former leader left undone. Called once all stored task ranges are loaded."""
         for job in list(self._data.jobs.values()):
             if job.is_complete and job.is_open:
                 self._data.pending_writes[TaskRangeId(job.id, 0)] = None
