--- a/spindleglade/workers/heartbeat_balancer.py
+++ b/spindleglade/workers/heartbeat_balancer.py
@@ -60,7 +60,7 @@
         """The number of workers that send their heartbeats to this controller."""
         now = self._clock.now()
         self._last_heartbeats = {
-            name: at for name, at in self._last_heartbeats.items() if now - at <= self._recent_period
+            worker: at for worker, at in self._last_heartbeats.items() if now - at <= self._recent_period
         }
         return len(self._last_heartbeats)
 
--- a/spindleglade/workers/state_recovery.py
+++ b/spindleglade/workers/state_recovery.py
@@ -32,7 +32,7 @@
         return False
     if any(index != 0 for index in job.placed):
         return False
-    max_other_attempts = max((tried for index, tried in job.attempts.items() if index != 0), default=0)
+    max_other_attempts = max((attempt for index, attempt in job.attempts.items() if index != 0), default=0)
     return 0 < max_other_attempts <= probe_attempts - PROBE_ATTEMPT_LEAD
 
 
--- a/spindleglade/workers/test_heartbeat_reconciliation.py
+++ b/spindleglade/workers/test_heartbeat_reconciliation.py
@@ -1,4 +1,4 @@
-"""What proves a task off its machine, and what heartbeats show of machines."""
+"""Which heartbeats prove that a task is off its machine, and what they show about the machine."""
 
 import pytest
 
@@ -26,11 +26,11 @@
     harness.cluster.jobs["job-1"].placed[0].stop_reason = "room"
     harness.send_heartbeat()
     assert harness.task_state() == PLACED
-    # It timed out: it may arrive minutes from now, so absence still proves nothing.
+    # The request timed out: the start may arrive minutes from now, so absence still proves nothing.
     harness.on_commands_sent(commands, outcome_unknown=True)
     harness.send_heartbeat()
     assert harness.task_state() == PLACED
-    # A new incarnation never executes it.
+    # A new incarnation never executes the start.
     harness.send_heartbeat(incarnation=2)
     assert harness.task_state() == WAITING
 
@@ -42,7 +42,7 @@
     harness.commit_writes()
     assert harness.send_heartbeat() == START
     harness.cluster.jobs["job-1"].placed[0].stop_reason = "room"
-    # The response to a direct message may be older than the command on its way.
+    # The status in the response to a direct message may be older than the start that is in flight.
     harness.send_heartbeat(renews_lease=False)
     assert harness.task_state() == PLACED
     harness.send_heartbeat()
@@ -56,7 +56,7 @@
 
 
 def test_no_lease_is_renewed_while_an_unanswered_start_may_start_a_cancelled_task():
-    """Until the machine is terminated the start could arrive, even minutes after the cancellation."""
+    """The start can arrive until the machine is terminated, even minutes after the cancellation."""
     harness = Harness()
     harness.send_heartbeat()
     harness.place()
@@ -65,9 +65,9 @@
     assert harness.send_heartbeat() == START
     harness.cancel()
     assert harness.send_heartbeat() is None
-    # Overtaken by the response to a direct message: the worker still waits for a response to this one.
+    # A heartbeat overtaken by the response to a direct message: the worker still waits for its response.
     assert harness.send_heartbeat(sequence=1) is None
-    # It has arrived: from here on it can be stopped, and so can a copy of it.
+    # The start has arrived: from now on the attempt can be stopped, also if a copy of the start arrives.
     assert [command.operation for command in harness.send_heartbeat(("job-1/0", 1, "running"))] == ["stop"]
     harness = Harness()
     harness.send_heartbeat()
@@ -98,11 +98,11 @@
         harness.now += seconds(1)
         harness.send_heartbeat(("job-1/0", 1, "running"))
     harness.now += seconds(1)
-    # Its new incarnation proves its task gone, yet nothing more is placed there.
+    # The new incarnation proves that the task is gone, yet nothing more is placed on the machine.
     harness.send_heartbeat(incarnation=2)
     machine = harness.cluster.machines["n-1"]
     assert harness.task_state() == WAITING and not harness.cluster.is_usable(machine, harness.now)
-    # Its heartbeats alone change nothing; that this incarnation outlives a lease shows that responses arrive.
+    # Heartbeats alone change nothing. Only an incarnation that outlives a lease shows that responses arrive.
     harness.now += seconds(5)
     harness.send_heartbeat(incarnation=2)
     assert not harness.cluster.is_usable(machine, harness.now)
@@ -145,13 +145,13 @@
     assert harness.task_state() == PLACED
     harness.cluster.on_machine_terminated("n-1", "released")
     assert harness.task_state() == WAITING
-    # Heartbeats that were under way do not bring the machine back.
+    # Heartbeats that were in flight do not bring the machine back.
     assert harness.send_heartbeat(("job-1/0", 1, "running")) is None
 
 
 def test_a_machine_whose_lease_a_peer_renews_is_not_silent():
-    """Behind a partition between zones a peer renews the leases of its zone's workers; they must not be
-    terminated after one lease."""
+    """During a partition between zones, a peer renews the leases of the workers in its zone. Their machines
+    must not be terminated after one lease."""
     harness = Harness().with_running_task()
     machine = harness.cluster.machines["n-1"]
     harness.now += seconds(20)
@@ -159,7 +159,7 @@
     harness.cluster.on_leases_renewed_by_peer(["n-1", "n-unknown"], harness.now)
     assert not harness.cluster.is_silent(machine, harness.now + seconds(10), seconds(11))
     assert harness.cluster.is_silent(machine, harness.now + seconds(12), seconds(11))
-    # It counts as alive, but nothing new is placed on it.
+    # The machine counts as alive, but nothing new is placed on it.
     assert not harness.cluster.is_usable(machine, harness.now)
 
 
--- a/spindleglade/workers/test_heartbeats.py
+++ b/spindleglade/workers/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats at a controller: late copies, redirects, renewals without the leader, relaying."""
+"""Heartbeats at a controller: late copies, redirects, renewals without the leader, and relaying."""
 
 from datetime import timedelta
 
@@ -24,7 +24,8 @@
 
 
 class Follower:
-    """A controller that reaches no leader, isolated from store and peers since `isolated_since`."""
+    """A controller that reaches no leader. It is isolated from the store and its peers since
+    `isolated_since`; None: it is not isolated."""
 
     def __init__(self, isolated_since=None, zone="a"):
         self.clock = ManualClock()
@@ -54,7 +55,7 @@
 
 
 def test_a_late_copy_of_a_heartbeat_renews_no_lease_and_reports_no_renewal():
-    """Else a dead machine whose heartbeats come once more would count as alive, and its tasks would wait."""
+    """Otherwise a dead machine would count as alive when its heartbeats come again, and its tasks wait."""
     follower = Follower()
     assert follower.heartbeat(5) == 200 and follower.api.renewed_without_leader == {"n-1": timedelta(0)}
     follower.clock.advance(seconds(8))
@@ -76,8 +77,8 @@
 
 
 def test_no_lease_is_renewed_where_a_start_of_a_cancelled_job_may_be_in_flight():
-    """A start sent straight to the machine may be delayed by minutes, and runs if the incarnation still lasts
-    then. The worker's heartbeats show nothing of it, but the record written before it does."""
+    """A start sent directly to the machine may be delayed by minutes, and is executed if the incarnation
+    still lasts then. The worker's heartbeats do not show it, but the record written before it does."""
     follower = Follower()
 
     def observe(state, task_range):
@@ -90,9 +91,9 @@
     assert follower.heartbeat(1) == 200
     observe("aborted", placed)
     assert follower.heartbeat(2) == 503
-    # Another machine, and another incarnation of this one, which such a start cannot reach.
+    # The start cannot reach another machine, or another incarnation of this one.
     assert follower.heartbeat(3, "n-2") == 200 and follower.heartbeat(1, incarnation=2) == 200
-    # The leader has recorded that the attempt has ended for certain.
+    # The leader has recorded that the attempt is proven to have ended.
     observe("aborted", None)
     assert follower.heartbeat(4, incarnation=1) == 503 and follower.heartbeat(5, incarnation=2) == 200
     follower.views.on_change(
@@ -109,12 +110,13 @@
 def test_an_isolated_controller_redirects_each_worker_once():
     follower = Follower(isolated_since=timedelta(0))
     follower.clock.advance(seconds(1))
-    # Only workers of its own zone: the zone may be isolated, and then there is no other controller for them.
+    # Only workers of its own zone reach it: the zone may be isolated, and then they reach no other
+    # controller.
     assert follower.heartbeat(1) == 200
-    # One from another zone reaches it all the same.
+    # A worker of another zone reaches it, so its zone is not isolated.
     assert follower.heartbeat(1, "n-2", "b") == 421
     assert follower.heartbeat(2) == 421
-    # Back again: it found no other controller.
+    # The worker has come back: it found no other controller.
     follower.clock.advance(seconds(6))
     assert follower.heartbeat(3) == 200 and follower.heartbeat(4) == 200
 
@@ -128,13 +130,13 @@
 def test_workers_are_redirected_only_to_peers_that_have_fewer(others, own, is_leader):
     clock = ManualClock()
     balancer = HeartbeatBalancer(clock, HEARTBEAT_INTERVAL, 2, LEASE)
-    loads = [ControllerLoad(f"n-{at}", count, False) for at, count in enumerate(others)]
+    loads = [ControllerLoad(f"n-{number}", count, False) for number, count in enumerate(others)]
     balancer.rebalance(ControllerLoad("me", own, is_leader), loads)
-    # Not at once: a peer that has only just come back may go away again.
+    # No worker is redirected at once: a peer that has only just come back may become unavailable again.
     assert balancer.redirect_target("w-0") is None
     clock.advance(LEASE)
     balancer.rebalance(ControllerLoad("me", own, is_leader), loads)
-    targets = [balancer.redirect_target(f"w-{at}") for at in range(own)]
+    targets = [balancer.redirect_target(f"w-{number}") for number in range(own)]
     after = {load.controller: load.workers + targets.count(load.controller) for load in loads}
     remaining = own - sum(target is not None for target in targets)
     for controller, workers in after.items():
@@ -142,7 +144,7 @@
             assert workers <= remaining * (2 if is_leader else 1) + 1
     if all(count >= own for count in others) and not is_leader:
         assert set(targets) <= {None}
-    # A peer is away: nobody is redirected.
+    # A peer is unavailable: no worker is redirected.
     balancer.rebalance(ControllerLoad("me", own, is_leader), loads[:1])
     assert balancer.redirect_target("w-x") is None
 
@@ -158,22 +160,22 @@
 
 
 @given(st.lists(st.binary(max_size=5), min_size=1, max_size=8), st.sampled_from(["ok", "lost", "short"]))
-def test_each_relayed_heartbeat_gets_its_own_response(heartbeats, fate):
+def test_each_relayed_heartbeat_gets_its_own_response(heartbeats, outcome):
     clock, relayed = ManualClock(), []
 
     async def send_to_leader(batch):
         relayed.append(list(batch))
         responses = [b"to " + heartbeat for heartbeat in batch]
-        return {"ok": responses, "lost": None, "short": responses[1:]}[fate]
+        return {"ok": responses, "lost": None, "short": responses[1:]}[outcome]
 
     relay, received = HeartbeatRelay(clock, seconds(0.02), send_to_leader), []
-    for at, heartbeat in enumerate(heartbeats):
+    for number, heartbeat in enumerate(heartbeats):
         waiting: Deferred = ensureDeferred(relay.send(heartbeat))
-        waiting.addCallback(lambda response, at=at: received.append((at, response)))
+        waiting.addCallback(lambda response, number=number: received.append((number, response)))
     assert not received
     clock.advance(seconds(0.02))
     assert relayed == [heartbeats]
-    expected = [b"to " + heartbeat if fate == "ok" else None for heartbeat in heartbeats]
+    expected = [b"to " + heartbeat if outcome == "ok" else None for heartbeat in heartbeats]
     assert sorted(received) == list(enumerate(expected))
 
 
--- a/spindleglade/workers/test_lossy_network.py
+++ b/spindleglade/workers/test_lossy_network.py
@@ -1,4 +1,4 @@
-"""No sequence of losses, delays and repetitions makes a task run unknown to the leader."""
+"""No sequence of losses, delays and repetitions makes a task run without the leader's knowledge."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -9,8 +9,9 @@
 
 
 class LossyWorker(RuleBasedStateMachine):
-    """One machine behind a network that loses, delays and repeats direct commands; planned on at will. The
-    task must never be taken as off the machine while it runs there or a start of it can still arrive."""
+    """One machine behind a network that loses, delays and repeats direct commands, with placements at any
+    time. The leader must never consider a task off the machine while it runs there or a start can still
+    arrive."""
 
     def __init__(self):
         super().__init__()
@@ -67,15 +68,15 @@
     def commit_writes(self):
         self.harness.commit_writes()
 
-    @rule(fate=st.sampled_from(["answered", "response lost", "delayed", "lost"]))
-    def send(self, fate):
+    @rule(outcome=st.sampled_from(["answered", "response lost", "delayed", "lost"]))
+    def send(self, outcome):
         for machine, incarnation, commands in self.harness.cluster.take_direct_commands():
-            if fate in ("answered", "response lost") and incarnation == self.incarnation:
+            if outcome in ("answered", "response lost") and incarnation == self.incarnation:
                 self.token = TOKEN
                 self.execute(commands)
-            if fate == "delayed":
+            if outcome == "delayed":
                 self.delayed.append((incarnation, commands))
-            heartbeat = self.next_heartbeat() if fate == "answered" else None
+            heartbeat = self.next_heartbeat() if outcome == "answered" else None
             self.harness.cluster.on_commands_sent(machine, commands, heartbeat is None, self.harness.now)
             if heartbeat is not None:
                 self.harness.cluster.on_heartbeat(heartbeat, self.harness.now, False)
@@ -87,11 +88,11 @@
         if incarnation == self.incarnation:
             self.execute(commands)
 
-    @rule(which=st.integers(0, 3))
-    def end_task(self, which):
+    @rule(position=st.integers(0, 3))
+    def end_task(self, position):
         running = [key for key, state in self.tasks.items() if state == "running"]
-        if which < len(running):
-            self.tasks[running[which]] = "exited"
+        if position < len(running):
+            self.tasks[running[position]] = "exited"
 
     @rule()
     def expire_lease(self):
--- a/spindleglade/workers/test_state_recovery.py
+++ b/spindleglade/workers/test_state_recovery.py
@@ -1,4 +1,4 @@
-"""What a new leader takes over from the task ranges on record."""
+"""The state that a new leader recovers from the stored task ranges."""
 
 from spindleglade.submissions.records import StoredAttempt, TaskRangeRecord
 from tests.cluster_harness import Harness
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -1,4 +1,4 @@
-"""The state writer against a store that commits, loses responses and rejects."""
+"""The state writer with a store that commits transactions, rejects them or loses the responses."""
 
 import msgspec
 import pytest
@@ -22,22 +22,26 @@
 
 
 class Store:
-    """Keeps mod_revisions and checks sizes; `fates` says what becomes of each transaction in turn."""
+    """Keeps mod_revisions and checks sizes. `outcomes` are those of the transactions, in order."""
 
-    def __init__(self, fates=()):
+    def __init__(self, outcomes=()):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
         self.revision, self.mod_revisions = 10, {LEADER: 5, job_key("job-1"): 1}
         self.values = {}
-        self.fates, self.sizes, self.spare_writes = list(fates), [], 12
+        self.outcomes, self.sizes, self.spare_writes = list(outcomes), [], 12
         self.value_bytes = 16 * 1024
 
     async def compare_and_swap(self, conditions, writes, urgent=False):
-        fate = self.fates.pop(0) if self.fates else "ok"
-        if fate == "not applied":
+        outcome = self.outcomes.pop(0) if self.outcomes else "ok"
+        if outcome == "not applied":
             raise NotAppliedError("503")
         self.sizes.append(len(msgspec.json.encode([conditions, writes])))
         assert self.sizes[-1] <= 64 * 1024 and len(writes) <= 12 and len(conditions) <= 48
-        failed = {at.key for at in conditions if self.mod_revisions.get(at.key, 0) != at.mod_revision}
+        failed = {
+            condition.key
+            for condition in conditions
+            if self.mod_revisions.get(condition.key, 0) != condition.mod_revision
+        }
         if failed:
             return ConditionFailed(frozenset(failed), self.revision)
         self.revision += 1
@@ -46,7 +50,7 @@
                 self.mod_revisions[write.key] = self.revision
             else:
                 del self.mod_revisions[write.key]
-        if fate == "response lost":
+        if outcome == "response lost":
             raise OutcomeUnknownError("timed out")
         return Committed(self.revision)
 
@@ -56,7 +60,8 @@
 
 
 def write_placements(store, tasks):
-    """A cluster with that many tasks placed, after its writer has been given time."""
+    """Places this many tasks and runs a state writer for 5 s. Returns the cluster and the reasons for which
+    the writer was deposed."""
     cluster, clock, deposed = make_cluster(), ManualClock(), []
     cluster.teams = {}
     cluster.observe_job(JobRecord("open", spec(tasks=tasks), 256), 1)
@@ -73,20 +78,20 @@
     return cluster, deposed
 
 
-def recorded(cluster):
-    """How many attempts are recorded."""
+def count_recorded(cluster):
+    """The number of recorded attempts."""
     return sum(attempt.is_recorded for attempt in cluster.jobs["job-1"].placed.values())
 
 
 def test_a_transaction_stays_within_the_size_that_the_store_accepts():
-    """Eleven full task ranges are more than the 64 KiB of a transaction, and would be rejected for ever."""
+    """Eleven full task ranges exceed the 64 KiB of a transaction, which would be rejected each time."""
     store = Store()
     cluster, _ = write_placements(store, 6000)
-    assert recorded(cluster) == 6000 and len(store.sizes) > 2
+    assert count_recorded(cluster) == 6000 and len(store.sizes) > 2
 
 
 @pytest.mark.parametrize(
-    "fates",
+    "outcomes",
     [
         ["not applied"],
         ["response lost"],
@@ -94,29 +99,29 @@
         ["response lost"] * 3,
     ],
 )
-def test_writes_that_failed_are_committed_in_the_end(fates):
-    store = Store(fates)
+def test_writes_that_failed_are_committed_in_the_end(outcomes):
+    store = Store(outcomes)
     cluster, deposed = write_placements(store, 3)
-    assert recorded(cluster) == 3 and not deposed and range_key("job-1", 0) in store.mod_revisions
+    assert count_recorded(cluster) == 3 and not deposed and range_key("job-1", 0) in store.mod_revisions
 
 
 def test_no_task_of_a_cancelled_job_is_recorded_as_placed():
     store = Store()
     store.mod_revisions[job_key("job-1")] = 9
     cluster, deposed = write_placements(store, 3)
-    assert recorded(cluster) == 0 and not deposed and range_key("job-1", 0) not in store.mod_revisions
+    assert count_recorded(cluster) == 0 and not deposed and range_key("job-1", 0) not in store.mod_revisions
 
 
 def test_a_deposed_leader_writes_nothing():
     store = Store()
     store.mod_revisions[LEADER] = 6
     cluster, deposed = write_placements(store, 3)
-    assert recorded(cluster) == 0 and deposed and range_key("job-1", 0) not in store.mod_revisions
+    assert count_recorded(cluster) == 0 and deposed and range_key("job-1", 0) not in store.mod_revisions
 
 
 def test_a_job_record_in_conflict_is_read_without_waiting_for_the_watch():
-    """Else every batch with a start of the job fails its conditions until the replica shows the cancellation:
-    with a watch delayed by seconds, no start of any job is recorded."""
+    """Otherwise every batch with a start of the job fails its conditions until the replica shows the
+    cancellation: while the watch is delayed by seconds, no start of any job is recorded."""
     store = Store()
     store.mod_revisions[job_key("job-1")] = 9
     store.values[job_key("job-1")] = encode_value(JobRecord("aborted", spec(tasks=3), 256))
@@ -124,8 +129,8 @@
     assert "job-1" not in cluster.jobs and not deposed and len(store.sizes) == 1
 
 
-def ranges_left_after_cancellation(store, tasks, at_s):
-    """The task ranges in the store of a job that is cancelled at that time, and its machine terminated."""
+def ranges_left_after_cancellation(store, tasks, cancelled_at_s):
+    """The stored task ranges after the job is cancelled, and its machine terminated, at `cancelled_at_s`."""
     cluster, clock = make_cluster(), ManualClock()
     cluster.teams = {}
     cluster.observe_job(JobRecord("open", spec(tasks=tasks), 256), 1)
@@ -135,7 +140,7 @@
     )
     writer = StateWriter(cluster, store, clock, Term(TOKEN, 5, 1), {}, StateWriterEvents(lambda: None, str))
     writer.start()
-    clock.advance(seconds(at_s))
+    clock.advance(seconds(cancelled_at_s))
     store.mod_revisions[job_key("job-1")] = 90
     store.values[job_key("job-1")] = encode_value(JobRecord("aborted", spec(tasks=tasks), 256))
     cluster.observe_job(JobRecord("aborted", spec(tasks=tasks), 256), 90)
@@ -149,24 +154,24 @@
 
 
 def test_a_cancellation_removes_a_range_whose_write_has_an_unknown_outcome():
-    """Else it stays for good: a placement of a cancelled job, for which no lease may be renewed, and which
-    the next leader counts against its team's limit."""
+    """Otherwise the range stays for good with placements of a cancelled job: the leases of their machines may
+    not be renewed, and the next leader counts them against the team's limit."""
     assert ranges_left_after_cancellation(Store(["response lost"]), 3, 0.1) == []
     assert ranges_left_after_cancellation(Store(["not applied"]), 3, 0.1) == []
     assert ranges_left_after_cancellation(Store(), 3, 1) == []
 
 
 def test_each_range_of_a_finished_job_is_removed_once():
-    """Each of its ranges requests the removal of all: three ranges must not be nine changes."""
+    """Each range of the job queues the removal of all ranges: three ranges must not cause nine changes."""
     store, removed = Store(), []
-    carry = store.compare_and_swap
+    original = store.compare_and_swap
 
     async def compare_and_swap(conditions, writes, urgent=False):
         removed.extend(write.key for write in writes if not isinstance(write, Put))
         assert len({write.key for write in writes if not isinstance(write, Put)}) == sum(
             not isinstance(write, Put) for write in writes
         )
-        return await carry(conditions, writes, urgent)
+        return await original(conditions, writes, urgent)
 
     store.compare_and_swap = compare_and_swap
     assert ranges_left_after_cancellation(store, 600, 1) == []
@@ -174,7 +179,7 @@
 
 
 def test_a_cancellation_at_the_end_of_the_last_task_is_not_overwritten():
-    """The cancellation is confirmed to the user when the leader has just seen the last task done."""
+    """The cancellation is confirmed to the user just after the leader has seen the last task done."""
     store = Store()
     cluster, clock = make_cluster(), ManualClock()
     cluster.observe_job(JobRecord("open", spec(tasks=1), 256), 1)
@@ -188,7 +193,7 @@
 
 
 def cluster_with_start_of_a_done_job():
-    """A cluster with a placement that is not recorded yet, of a job whose record says that it is done."""
+    """A cluster with an unrecorded placement of a job that is done by its latest record."""
     cluster, clock = make_cluster(), ManualClock()
     cluster.teams = {}
     cluster.observe_job(JobRecord("open", spec(tasks=1), 256), 1)
@@ -199,8 +204,9 @@
 
 
 def test_a_placement_of_a_job_that_is_done_reserves_no_capacity():
-    """An old record of a finished job, shown late by the replica, opens it again until the newer one comes.
-    What is placed meanwhile is never recorded or sent, and must not count against the machine or the team."""
+    """An old record of a finished job, shown late by the replica, reopens the job until the newer record
+    comes. Placements made meanwhile are never recorded or sent, and must not count against the machine or the
+    team."""
     cluster = cluster_with_start_of_a_done_job()
     assert not cluster.machines["n-0000000231"].placed
     batch = cluster.collect_writes(9, {})
@@ -216,15 +222,15 @@
 
 
 def test_a_write_that_raises_is_suspended_and_the_rest_is_written():
-    """One batch that raises must not end the writer, and with it every start of every job."""
+    """A batch that raises must not end the writer: without it, no start of any job would be recorded."""
 
-    class Breaks(Store):
+    class FailingStore(Store):
         async def compare_and_swap(self, conditions, writes, urgent=False):
             if any(condition.key == job_key("job-1") for condition in conditions):
                 raise ZeroDivisionError
             return await super().compare_and_swap(conditions, writes, urgent)
 
-    store, clock, cluster = Breaks(), ManualClock(), make_cluster()
+    store, clock, cluster = FailingStore(), ManualClock(), make_cluster()
     cluster.teams = {}
     starts = []
     for number in (1, 2, 3):
--- a/spindleglade/workers/test_state_writer_errors.py
+++ b/spindleglade/workers/test_state_writer_errors.py
@@ -1,5 +1,5 @@
-"""Errors after the store's response to a batch: the writer keeps track of what the store holds by then, and
-writes the rest."""
+"""Errors while the store's response to a batch is applied: the writer still tracks what the store holds, and
+writes the remaining changes."""
 
 import pytest
 
@@ -15,27 +15,27 @@
 from spindleglade.workers.test_state_writer import Store
 from tests.cluster_harness import TOKEN, make_cluster, spec
 
-# Jobs with a start to be recorded, one that is done, and one that is cancelled and has a range to remove.
+# Three jobs with a start to be recorded, a done job, and a cancelled job with a task range to remove.
 STARTING = ("job-1", "job-2", "job-3")
 DONE_JOB = "job-4"
 CANCELLED_JOB = "job-5"
 
 
-class Breaks:
-    """Raises at its call of that number, and forwards all others."""
+class FailingCall:
+    """Raises at one call, given by its number from 1 on (0: at none), and forwards all other calls."""
 
-    def __init__(self, call, at):
-        self._call, self._at, self.count = call, at, 0
+    def __init__(self, call, failing_number):
+        self._call, self._failing_number, self.count = call, failing_number, 0
 
     def __call__(self, *arguments):
         self.count += 1
-        if self.count == self._at:
-            raise RuntimeError("broke")
+        if self.count == self._failing_number:
+            raise RuntimeError("injected error")
         return self._call(*arguments)
 
 
-def batch_of_each_kind():
-    """A cluster with something of each kind to record, and the store that holds its jobs."""
+def cluster_with_writes_of_each_kind():
+    """A cluster with pending writes of each kind, the store with its jobs, and the writer's mod_revisions."""
     cluster, store, now = make_cluster(), Store(), ManualClock().now()
     cluster.teams = {}
     for mod_revision, job in enumerate((*STARTING, DONE_JOB, CANCELLED_JOB), 1):
@@ -53,23 +53,23 @@
     return cluster, store, mod_revisions
 
 
-@pytest.mark.parametrize("at", [1, 2])
+@pytest.mark.parametrize("failing_number", [1, 2])
 @pytest.mark.parametrize(
     "step", ["on_range_committed", "on_job_recorded_done", "forget_job", "observe", "on_committed"]
 )
-def test_a_batch_whose_response_cannot_be_applied_is_committed_in_the_end(step, at):
-    cluster, store, mod_revisions = batch_of_each_kind()
+def test_a_batch_whose_response_cannot_be_applied_is_committed_in_the_end(step, failing_number):
+    cluster, store, mod_revisions = cluster_with_writes_of_each_kind()
     clock, deposed = ManualClock(), []
-    on_record_observed = Breaks(lambda key, value, mod_revision: None, 0)
-    on_committed = Breaks(lambda: None, 0)
-    breaking = Breaks(None, at)
+    on_record_observed = FailingCall(lambda key, value, mod_revision: None, 0)
+    on_committed = FailingCall(lambda: None, 0)
+    failing_call = FailingCall(None, failing_number)
     if step in ("on_range_committed", "on_job_recorded_done", "forget_job"):
-        breaking._call = getattr(cluster, step)
-        setattr(cluster, step, breaking)
+        failing_call._call = getattr(cluster, step)
+        setattr(cluster, step, failing_call)
     elif step == "observe":
-        on_record_observed = breaking = Breaks(lambda key, value, mod_revision: None, at)
+        on_record_observed = failing_call = FailingCall(lambda key, value, mod_revision: None, failing_number)
     else:
-        on_committed = breaking = Breaks(lambda: None, at)
+        on_committed = failing_call = FailingCall(lambda: None, failing_number)
     writer = StateWriter(
         cluster,
         store,
@@ -83,7 +83,7 @@
         clock.advance(seconds(0.1))
     assert all(cluster.jobs[job].placed[0].is_recorded for job in STARTING)
     assert not cluster.jobs.keys() & {DONE_JOB, CANCELLED_JOB} and not cluster.pending_writes and not deposed
-    # The mod_revisions that it knows are those of the store.
+    # The mod_revisions that the writer knows are those of the store.
     assert mod_revisions == {
         key: mod_revision for key, mod_revision in store.mod_revisions.items() if key.startswith("sg/task/")
     }
@@ -91,10 +91,10 @@
 
 
 def test_an_error_while_conflicting_keys_are_read_loses_no_write():
-    cluster, store, mod_revisions = batch_of_each_kind()
-    # The store has a newer range than the writer knows of: the outcome of its write was unknown.
+    cluster, store, mod_revisions = cluster_with_writes_of_each_kind()
+    # The store has a newer range than the writer knows of, as after a write with an unknown outcome.
     store.mod_revisions[range_key("job-2", 0)] = 8
-    store.get = Breaks(store.get, 1)
+    store.get = FailingCall(store.get, 1)
     clock, deposed = ManualClock(), []
     writer = StateWriter(
         cluster,
@@ -112,7 +112,7 @@
 
 
 class LoweringStore(Store):
-    """Rejects transactions with that key as too large, and has a smaller limit from the first of them on."""
+    """Rejects transactions with a given key as too large, and lowers its limit at the first of them."""
 
     def __init__(self, rejected_key):
         super().__init__()
@@ -128,7 +128,7 @@
 
 
 def test_a_value_that_cannot_be_made_smaller_is_never_sent_twice_unchanged():
-    """The range has one task: collected anew under the lower limit the value is the same."""
+    """The range has a single task, so its value is the same when collected anew under the lower limit."""
     cluster, store, clock = make_cluster(), LoweringStore(range_key("job-1", 0)), ManualClock()
     cluster.teams = {}
     cluster.observe_job(JobRecord("open", spec("job-1", 1), 8), 1)
@@ -139,7 +139,7 @@
     for _ in range(100):
         clock.advance(seconds(0.1))
     assert len(store.sent) == 1
-    # Later changes are recorded all the same.
+    # Later changes are still recorded.
     cluster.observe_job(JobRecord("open", spec("job-2", 1), 8), 2)
     store.mod_revisions[job_key("job-2")] = 2
     cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 2, TOKEN, []), clock.now(), True)
--- a/spindleglade/workers/test_state_writer_sequences.py
+++ b/spindleglade/workers/test_state_writer_sequences.py
@@ -30,68 +30,70 @@
 
 
 class UnreliableConnection:
-    """Carries one leader's requests to the state service, each with a fate drawn beforehand: answered,
-    answered slowly, rejected, applied without a response, or delayed without a response and applied later."""
+    """Carries one leader's requests to the state service. The outcome of each request is drawn beforehand: it
+    is answered, answered slowly, rejected, applied without a response, or delayed without a response and
+    applied later."""
 
-    def __init__(self, story):
-        self.story = story
+    def __init__(self, model):
+        self.model = model
 
     async def request(self, method, address, path, body=None, timeout=None):
-        story = self.story
-        fate = story.fates.pop(0) if story.fates else "ok"
+        model = self.model
+        fate = model.fates.pop(0) if model.fates else "ok"
         if fate == "not applied":
             return ClientResponse(503, b"{}")
         if fate == "delayed":
             if method == "POST":
-                story.delayed.append((method, path, body))
+                model.delayed_requests.append((method, path, body))
             raise NoResponseError("timed out")
-        response = ClientResponse(*story.service.handle(method, path, body or b""))
+        response = ClientResponse(*model.service.handle(method, path, body or b""))
         if response.status == 400:
-            # Checked for each leader: it does not know what was rejected for the one before.
-            rejected = (story.token, msgspec.json.encode(msgspec.json.decode(body)["writes"]))
-            assert rejected not in story.too_large, "repeated unchanged"
-            story.too_large.append(rejected)
+            # Checked for each leader: a new leader does not know what was rejected for the previous one.
+            rejected = (model.token, msgspec.json.encode(msgspec.json.decode(body)["writes"]))
+            assert rejected not in model.rejected_writes, "rejected writes were sent again unchanged"
+            model.rejected_writes.append(rejected)
         if fate == "response lost":
             raise NoResponseError("timed out")
         if fate == "slow":
             waiter = Deferred()
-            story.clock.later(seconds(1), waiter.callback, None)
+            model.clock.later(seconds(1), waiter.callback, None)
             await waiter
         return response
 
 
 ANY_JOB, ANY_MACHINE = st.sampled_from(["job-1", "job-2"]), st.sampled_from(["n-1", "n-2"])
-
-
 INDICES = st.sets(st.integers(0, 4), min_size=1)
 FATES = st.lists(st.sampled_from(["ok", "slow", "not applied", "response lost", "delayed"]), max_size=5)
 
 
 class RecordsStory(RuleBasedStateMachine):
-    """Successive leaders with their writers, a state service whose responses are late, lost or rejections,
-    users who cancel, and workers who carry out their commands. Whatever their order, a task is on one machine
-    at most, final records stay and are true, and in the end all jobs are final, and no range is left."""
+    """Successive leaders with their state writers, a state service with late, lost and rejecting responses,
+    users who cancel jobs, and workers that execute commands.
+
+    Whatever the order of events, a task runs on one machine at most, and final records stay and are true. In
+    the end all jobs are final and no task range is left.
+    """
 
     SIZES = {"job-1": 5, "job-2": 1}
     CHUNK = 2
     LIMITS = StateLimits(1e4, 1e4, 16.0, 12)
-    # As many tasks as are placed and end at a time while all is brought to its end.
+    # How many tasks are placed at a time, and end at a time, while `teardown` completes all jobs.
     AT_ONCE = 9
 
     def __init__(self):
         super().__init__()
         self.clock = ManualClock()
         self.service = StateService(self.clock)
-        self.fates, self.delayed, self.observed, self.too_large = [], [], 0, []
+        self.fates, self.delayed_requests, self.observed_changes, self.rejected_writes = [], [], 0, []
         self.machines = {name: {} for name in ("n-1", "n-2")}
         self.incarnations = dict.fromkeys(self.machines, 1)
         self.sequences = dict.fromkeys(self.machines, 0)
         self.tokens = dict.fromkeys(self.machines, 0)
-        self.done, self.given, self.final = set(), {}, {}
+        self.done, self.given, self.final_states = set(), {}, {}
         self.token, self.writer = 0, None
         for job, tasks in self.SIZES.items():
             self.write(job_key(job), JobRecord("open", spec(job, tasks), self.CHUNK))
-        self.lead()
+        self.start_leader()
 
     def write(self, key, value):
         self.service._write([{"set": key, "v": msgspec.json.decode(msgspec.json.encode(value))}])
@@ -105,7 +107,7 @@
             for key, (value, mod_revision, _) in sorted(self.service.keys.items())
         ]
 
-    def lead(self):
+    def start_leader(self):
         if self.writer is not None:
             self.writer.stop()
         self.token += 1
@@ -128,30 +130,30 @@
         )
         self.writer.start()
 
-    @rule(length=st.sampled_from([0.01, 0.2, 0.7, 2.0]))
-    def wait(self, length):
+    @rule(duration_s=st.sampled_from([0.01, 0.2, 0.7, 2.0]))
+    def wait(self, duration_s):
         self.writer.wake()
-        self.clock.advance(seconds(length))
+        self.clock.advance(seconds(duration_s))
 
-    @rule(at=st.integers(0, 3))
-    def apply_delayed_request(self, at):
-        if self.delayed:
-            self.service.handle(*self.delayed.pop(min(at, len(self.delayed) - 1)))
+    @rule(position=st.integers(0, 3))
+    def apply_delayed_request(self, position):
+        if self.delayed_requests:
+            self.service.handle(*self.delayed_requests.pop(min(position, len(self.delayed_requests) - 1)))
 
-    @rule(most=st.integers(1, 4))
-    def show_changes(self, most):
-        """Shows the next changes by the replica, which may be behind what the leader has read."""
+    @rule(limit=st.integers(1, 4))
+    def deliver_changes(self, limit):
+        """Delivers the next changes through the replica, which may be behind what the leader has read."""
         changes = [change for change in self.service.log if change.get("set", "").startswith(JOBS)]
-        for change in changes[self.observed : self.observed + most]:
+        for change in changes[self.observed_changes : self.observed_changes + limit]:
             record = msgspec.convert(change["v"], JobRecord)
             self.cluster.observe_job(record, change["mark"], self.clock.now())
-            self.observed += 1
+            self.observed_changes += 1
         self.writer.wake()
 
     @rule(machine=ANY_MACHINE)
     def report(self, machine):
         self.sequences[machine] += 1
-        tasks = [TaskStatus(*key, *how) for key, how in self.machines[machine].items()]
+        tasks = [TaskStatus(*key, *status) for key, status in self.machines[machine].items()]
         heartbeat = Heartbeat(
             machine, "x:1", "m", "z", True, self.incarnations[machine], self.sequences[machine],
             self.tokens[machine], tasks,
@@ -159,20 +161,20 @@
         commands = self.cluster.on_heartbeat(heartbeat, self.clock.now(), True)
         self.tokens[machine] = self.token
         for command in commands:
-            key, there = (command.task, command.attempt), self.machines[machine]
-            if command.operation == "start" and key not in there:
+            key, attempts = (command.task, command.attempt), self.machines[machine]
+            if command.operation == "start" and key not in attempts:
                 assert self.given.setdefault(key, machine) == machine, "an attempt started on two machines"
-                there[key] = ("exited", "done") if command.task in self.done else ("running",)
-            elif command.operation == "stop" and there.get(key) == ("running",):
-                there[key] = ("exited", "halted")
-            elif command.operation == "clear" and key in there:
-                assert there[key][0] == "exited"
-                del there[key]
+                attempts[key] = ("exited", "done") if command.task in self.done else ("running",)
+            elif command.operation == "stop" and attempts.get(key) == ("running",):
+                attempts[key] = ("exited", "halted")
+            elif command.operation == "clear" and key in attempts:
+                assert attempts[key][0] == "exited"
+                del attempts[key]
         self.writer.wake()
 
     @rule(job=ANY_JOB, indices=INDICES, to=ANY_MACHINE, fates=FATES)
     def place(self, job, indices, to, fates):
-        # The response to the first heartbeat may be the one by which the machine learns the new token.
+        # The machine may learn the new token only from the response to the first heartbeat.
         self.report(to)
         self.report(to)
         self.fates = fates
@@ -184,7 +186,7 @@
 
     @rule(machine=ANY_MACHINE, fates=FATES, most=st.integers(1, 3))
     def tasks_end(self, machine, fates, most):
-        running = [key for key, how in self.machines[machine].items() if how == ("running",)]
+        running = [key for key, status in self.machines[machine].items() if status == ("running",)]
         for key in running[:most]:
             self.machines[machine][key] = ("exited", "done")
             self.done.add(key[0])
@@ -193,7 +195,7 @@
             self.report(machine)
 
     @rule(machine=ANY_MACHINE)
-    def lease_ends(self, machine):
+    def expire_lease(self, machine):
         self.machines[machine].clear()
         self.incarnations[machine] += 1
         self.sequences[machine] = 0
@@ -207,33 +209,37 @@
             self.write(job_key(job), JobRecord("aborted", record.spec, record.range_size))
 
     @rule(chance=st.integers(0, 3))
-    def leader_changes(self, chance):
+    def change_leader(self, chance):
         if chance == 3:
-            self.lead()
+            self.start_leader()
 
     @invariant()
     def a_task_is_on_one_machine_at_most(self):
         running = [
             task
-            for there in self.machines.values()
-            for (task, _), how in there.items()
-            if how == ("running",)
+            for attempts in self.machines.values()
+            for (task, _), status in attempts.items()
+            if status == ("running",)
         ]
         assert len(running) == len(set(running)), running
 
     @invariant()
-    def what_is_final_stays_and_is_true(self):
+    def final_records_stay_and_are_true(self):
         for job, tasks in self.SIZES.items():
             state = self.service.keys[job_key(job)][0]["stage"]
-            assert self.final.setdefault(job, state) == state if state != "open" else job not in self.final
+            assert (
+                self.final_states.setdefault(job, state) == state
+                if state != "open"
+                else job not in self.final_states
+            )
             if state == "done":
                 assert all(f"{job}/{index}" in self.done for index in range(tasks))
 
     def settle(self):
         for _ in range(3):
-            while self.delayed:
+            while self.delayed_requests:
                 self.apply_delayed_request(0)
-            self.show_changes(9)
+            self.deliver_changes(9)
             for machine in self.machines:
                 self.report(machine)
             self.wait(2.0)
@@ -253,7 +259,8 @@
                 )
                 end = job.ranges.end(first)
                 if job.ranges.is_overflow(first) or job.ranges.is_overflow(end):
-                    # What lies beyond the next overflow range's start is stale; that stays though empty.
+                    # Entries beyond the start of the next overflow range are stale. An overflow range stays
+                    # in the store even if it is empty.
                     assert (task_range or TaskRangeRecord()).restricted_to(first, end) == (
                         job.encode_range(first) or TaskRangeRecord()
                     )
@@ -266,11 +273,11 @@
             for machine in self.machines:
                 self.tasks_end(machine, [], self.AT_ONCE)
             self.settle()
-            self.what_is_final_stays_and_is_true()
-        # A record of a finished job may have come late; the next leader removes what is left of it.
-        self.lead()
+            self.final_records_stay_and_are_true()
+        # A record of a finished job may have come late; the next leader removes what is left of the job.
+        self.start_leader()
         self.settle()
-        assert self.final.keys() == self.SIZES.keys() and not self.cluster.jobs
+        assert self.final_states.keys() == self.SIZES.keys() and not self.cluster.jobs
         assert not self.stored(TASK_RANGES) and not self.stored(OVERFLOW_RANGES)
         assert not any(self.machines.values())
 
--- a/spindleglade/workers/test_write_collection.py
+++ b/spindleglade/workers/test_write_collection.py
@@ -1,11 +1,11 @@
-"""The order in which changes are written."""
+"""The order in which pending changes are written."""
 
 from spindleglade.submissions.records import JobRecord
 from tests.cluster_harness import Harness, spec
 
 
 def test_starts_are_recorded_before_ends():
-    """Nobody waits for the record of an end; many of them must not delay starts."""
+    """Nobody waits for the record of an attempt's end, so many pending ends must not delay starts."""
     harness = Harness()
     harness.cluster.observe_job(JobRecord("open", spec("job-2", 20), 1), 2)
     harness.send_heartbeat()
--- a/spindleglade/workers/write_collection.py
+++ b/spindleglade/workers/write_collection.py
@@ -126,8 +126,10 @@
     def _collect_done_job(self, job: Job) -> None:
         """Adds the final record of a job with all tasks done, unless the batch already contains it or the
         store has rejected it as too large."""
-        refused_revision = self._data.oversized_writes.get(TaskRangeId(job.id, DONE_RECORD))
-        if refused_revision == job.mod_revision or any(job_id == job.id for job_id, _, _ in self._batch.done):
+        rejected_revision = self._data.oversized_writes.get(TaskRangeId(job.id, DONE_RECORD))
+        if rejected_revision == job.mod_revision or any(
+            job_id == job.id for job_id, _, _ in self._batch.done
+        ):
             return
         record = JobRecord(JobState.OPEN, job.spec, job.range_size, job.accepted)
         record = final_record(record, JobState.DONE, self._limits.max_value_bytes)
@@ -167,10 +169,10 @@
         writes = self._range_writes(job, first_task, collected)
         for write in reversed(writes):
             range_id = TaskRangeId(job.id, write.first_task)
-            is_refused = self._data.oversized_writes.get(range_id) == write.version
-            if is_refused and write.first_task == first_task:
+            is_rejected = self._data.oversized_writes.get(range_id) == write.version
+            if is_rejected and write.first_task == first_task:
                 return
-            if is_refused or self._batch.size >= max_operations:
+            if is_rejected or self._batch.size >= max_operations:
                 # The task range stays pending; the next batch collects it with the missing overflow ranges.
                 self._queue.requeue_range(job, first_task)
                 return
