--- a/spindleglade/controller/__init__.py
+++ b/spindleglade/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller: its wiring, and what it does while it leads."""
+"""One controller: its wiring, and its work as the leader."""
--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller: creates the slices of the service, connects them, and follows elections."""
+"""One controller: creates the services of all packages, connects them, and follows the elections."""
 
 import logging
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 import msgspec
 
 from spindleglade.controller.connectivity import PeerConnectivity
-from spindleglade.controller.heartbeat_balancing import HeartbeatBalancing
+from spindleglade.controller.heartbeat_balancing import HeartbeatBalancingLoop
 from spindleglade.controller.leader import Leader
 from spindleglade.controller.leader_dependencies import Compute, LeaderDependencies
 from spindleglade.controller.lease_renewal_report import LeaseRenewalReporter
@@ -20,7 +20,7 @@
 from spindleglade.http.server import HttpResponse
 from spindleglade.leadership.election import Election, ElectionHandlers
 from spindleglade.leadership.monitor import LeadershipMonitor
-from spindleglade.leadership.peer_network import Peers
+from spindleglade.leadership.peer_network import PeerNetworkInterface
 from spindleglade.leadership.term import Term
 from spindleglade.runtime.clock import Clock, seconds
 from spindleglade.settings import OperatorSettings, Platform
@@ -38,7 +38,7 @@
 
 log = logging.getLogger("spindleglade")
 
-# Where workers send their heartbeats; all other paths are for users.
+# The path to which workers send their heartbeats; all other paths are for users.
 HEARTBEAT_PATH = server.HEARTBEAT_PATH.decode()
 CLOUD_TIMEOUT = seconds(4)
 
@@ -46,9 +46,10 @@
 class Controller:
     """One controller. All methods are called from the event loop.
 
-    Its ways to the outside are passed in, so that tests can replace them: `http` sends requests to the store
-    and the cloud, `machines` to the machines, `connect` creates the connections to the peers from the
-    handlers of their messages, and `compute` runs the planning in another thread.
+    Its network clients and its planning thread are passed in, so that tests can replace them: `http` sends
+    requests to the store and to the cloud, `machine_requester` sends requests to the machines, `connect`
+    creates the peer network from the handlers of its events, and `compute` runs the planning in another
+    thread.
     """
 
     def __init__(
@@ -57,22 +58,22 @@
         settings: OperatorSettings,
         clock: Clock,
         http: Requester,
-        machines: ConcurrencyLimiter,
-        connect: Callable[..., Peers],
+        machine_requester: ConcurrencyLimiter,
+        connect: Callable[..., PeerNetworkInterface],
         compute: Compute,
     ) -> None:
         self._platform = platform
         self._settings = settings
         self._clock = clock
-        self._machine_requester = machines
+        self._machine_requester = machine_requester
         self._compute = compute
-        # The current term's leader, while this controller leads.
+        # The leader of the current term; None while this controller does not lead.
         self.leader: Leader | None = None
         self._create_store(http)
         self._create_election()
         self._create_peer_services()
         self._create_apis()
-        handler = PeerRequestHandler(self.workers, self.users, self._leads)
+        handler = PeerRequestHandler(self.worker_api, self.user_api, self._leads)
         self.peers = connect(
             self._peer_heartbeats.make_heartbeat,
             handler.on_relayed_heartbeats,
@@ -81,37 +82,37 @@
             self.election.on_peer_process_ended,
         )
         self._lease_renewal_reporter = LeaseRenewalReporter(
-            platform.name, clock, self.client, self.replica, self.workers
+            platform.name, clock, self.client, self.replica, self.worker_api
         )
-        self._balancing = HeartbeatBalancing(
+        self._balancing_loop = HeartbeatBalancingLoop(
             platform.name, clock, self._balancer, self._connectivity, self._leads
         )
 
     def _create_store(self, http: Requester) -> None:
-        """The store with its replica and what is derived from it, and the cloud."""
-        params, store = self._platform.params, self._settings.store
+        """Creates the clients of the store and of the cloud, the replica, and the views derived from it."""
+        params, store_settings = self._platform.params, self._settings.store
         self.client = StateClient(
             http,
             self._platform.external.state,
             self._clock,
             params.state,
             self._platform.controller_count,
-            seconds(store.request_timeout_s),
+            seconds(store_settings.request_timeout_s),
         )
         self.replica = Replica(
             self.client,
             self._clock,
             PREFIX,
-            seconds(store.max_watch_wait_s),
-            seconds(store.catch_up_interval_s),
+            seconds(store_settings.max_watch_wait_s),
+            seconds(store_settings.catch_up_interval_s),
             lambda: self.client.request_interval,
         )
         self.views = JobViews()
-        # Views are brought up to date before anything else is told of a change.
+        # The views subscribe first, so that they are up to date when other subscribers handle a change.
         self.replica.subscribe(self.views.on_change)
         cloud = self._platform.external.cloud
         self.cloud = CloudClient(http, cloud, self._clock, params.cloud.rps, CLOUD_TIMEOUT)
-        self.types = MachineTypeCatalog(
+        self.machine_types = MachineTypeCatalog(
             self.cloud,
             self.client,
             self.replica,
@@ -121,7 +122,7 @@
         )
 
     def _create_election(self) -> None:
-        """The election, which tells this controller of its terms, and the changes that its leader follows."""
+        """Creates the election, and subscribes to the changes that are passed on to the leader."""
         self.election = Election(
             self._platform.name,
             self.client,
@@ -134,7 +135,7 @@
         self.views.subscribe(self._on_dependency_changed)
 
     def _create_peer_services(self) -> None:
-        """What concerns the peers: connectivity, heartbeats, requests, and the monitor of leadership."""
+        """Creates the services that depend on the peers: heartbeats, requests and the leadership monitor."""
         platform, settings, clock = self._platform, self._settings, self._clock
         workers = platform.params.workers
         proof_validity = seconds(settings.store.catch_up_interval_s + settings.leadership.lease_s)
@@ -164,21 +165,21 @@
         )
 
     def _create_apis(self) -> None:
-        """The interfaces to users and to workers, and the rules by which leases may be renewed."""
+        """Creates the APIs for users and workers, and the rules that permit lease renewals."""
         platform, settings, clock = self._platform, self._settings, self._clock
         workers = platform.params.workers
-        self.users = UserApi(
+        self.user_api = UserApi(
             self.client,
             self.replica,
             self.views,
             platform.teams,
-            self.types.machine_shapes,
+            self.machine_types.machine_shapes,
             self._peer_requests.forward_request,
             clock.utc,
         )
         validity = workers.cancel - workers.lease - seconds(settings.workers.cancel_margin_s)
         freshness = CancellationFreshness(clock, validity, lambda: self.replica.current_as_of)
-        # The leader knows which tasks it has started, so it may rely on what its peers state as well.
+        # The leader knows which tasks it has started, so it may also rely on the peers' cancellation reports.
         cancellations = self._peer_heartbeats.cancellations
         self._leader_cancellation_freshness = CancellationFreshness(
             clock, validity, lambda: cancellations.complete_as_of
@@ -186,7 +187,7 @@
         relay = HeartbeatRelay(
             clock, seconds(settings.workers.relay_window_s), self._peer_requests.relay_heartbeats
         )
-        self.workers = WorkerApi(
+        self.worker_api = WorkerApi(
             clock,
             self.views,
             freshness,
@@ -202,32 +203,32 @@
         return self.leader is not None and self.leader.is_active
 
     def is_leadership_proven(self) -> bool:
-        """Whether this controller, if it leads, may currently take itself for the leader."""
+        """Whether this controller, if it leads, has recent proof that no later term has begun."""
         return self._connectivity.is_leadership_proven()
 
     def start(self) -> None:
-        """Starts all that runs in the background."""
+        """Starts all background tasks."""
         self.replica.start()
-        self.types.start()
+        self.machine_types.start()
         self.election.start()
         self.peers.start()
         self._lease_renewal_reporter.start()
-        self._balancing.start()
+        self._balancing_loop.start()
         self._monitor.start()
         log.info("started controller=%s zone=%s", self._platform.name, self._platform.zone)
 
     async def handle(self, method: str, path: str, body: bytes) -> HttpResponse:
-        """The response to an HTTP request of a worker or a user."""
+        """Serves an HTTP request of a worker or a user."""
         if path == HEARTBEAT_PATH:
-            return await self.workers.handle(method, path, body)
-        return await self.users.handle(method, path, body)
+            return await self.worker_api.handle(method, path, body)
+        return await self.user_api.handle(method, path, body)
 
     def _leads(self) -> bool:
-        """The property `is_leader` as a callback for the slices."""
+        """Returns `is_leader`; passed as a callback to the services."""
         return self.is_leader
 
     def _on_elected(self, term: Term) -> None:
-        """This controller has won an election: its leader begins the recovery."""
+        """Creates the leader of a won term and starts its recovery."""
         dependencies = LeaderDependencies(
             platform=self._platform,
             settings=self._settings,
@@ -236,7 +237,7 @@
             machine_requester=self._machine_requester,
             client=self.client,
             cloud=self.cloud,
-            machine_types=self.types,
+            machine_types=self.machine_types,
             replica=self.replica,
             views=self.views,
             cancellation_freshness=self._leader_cancellation_freshness,
@@ -246,13 +247,13 @@
         self.leader.start()
 
     def _on_deposed(self, reason: str) -> None:
-        """The term is over."""
+        """Stops the leader, because its term is over."""
         if self.leader is not None:
             leader, self.leader = self.leader, None
             leader.stop()
 
     def _on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        """Passes lease renewals by peers and changed job records on to the leader."""
+        """Passes the peers' lease renewals and changed job records on to the leader."""
         if self.leader is not None and key.startswith(LEASE_RENEWALS) and value is not None:
             self.leader.on_leases_renewed_by_peer(msgspec.json.decode(value, type=list[str]))
         if self.leader is not None and key.startswith(JOBS) and value is not None:
@@ -263,5 +264,6 @@
             self.leader.on_dependency_changed(job)
 
     def _handle_as_leader(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """The leader's response; None if this controller does not lead, or the lease must not be renewed."""
+        """Returns the leader's response to a heartbeat; None if this controller does not lead, or if the
+        lease must not be renewed."""
         return self.leader.on_heartbeat(heartbeat) if self.leader is not None else None
--- a/spindleglade/controller/heartbeat_balancing.py
+++ b/spindleglade/controller/heartbeat_balancing.py
@@ -1,4 +1,4 @@
-"""Tells the heartbeat balancer regularly how many workers each controller serves."""
+"""Updates the heartbeat balancer periodically with the number of workers that each controller serves."""
 
 from collections.abc import Callable
 
@@ -10,8 +10,8 @@
 BALANCE_INTERVAL = seconds(0.5)
 
 
-class HeartbeatBalancing:
-    """Keeps the controllers' shares of the workers' heartbeats even."""
+class HeartbeatBalancingLoop:
+    """Rebalances the workers' heartbeats over the controllers periodically."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self._is_leader = is_leader
 
     def start(self) -> None:
-        """Begins to balance."""
+        """Starts the periodic rebalancing."""
         run_forever(self._clock, self._run, "balancing")
 
     async def _run(self) -> None:
--- a/spindleglade/leadership/__init__.py
+++ b/spindleglade/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Leadership: elections, leases and tokens, and the connections between the controllers."""
+"""Leadership: elections, leases, fencing tokens, and the connections between the controllers."""
--- a/spindleglade/leadership/election.py
+++ b/spindleglade/leadership/election.py
@@ -1,8 +1,9 @@
-"""Elects one leader at a time, by a key under a lease in the store.
+"""Elects one leader at a time by a key in the store that is bound to a lease, the leader key.
 
-The mod_revision of that key makes leadership safe: every write of a leader is conditional on it, so whatever
-a deposed leader still sends fails. The lease only decides when others may campaign. The token that workers
-see is a counter that is raised in the transaction that takes the key, so it never repeats and never falls.
+The mod_revision of the leader key makes leadership safe: every write of a leader is conditional on it, so the
+writes of a deposed leader fail. The lease only determines when other controllers may campaign. The fencing
+token that workers see is a counter in the store. It is raised in the transaction that writes the leader key,
+so it never repeats and never decreases.
 """
 
 import logging
@@ -29,30 +30,33 @@
 
 log = logging.getLogger("spindleglade.leadership")
 
-# Campaigns that a controller begins within the time of one lease while it does not lead.
+# The number of campaigns that a controller starts per lease TTL while it does not lead.
 CAMPAIGNS_PER_LEASE = 6
-# The same until the replica is loaded. Nobody can tell until then whether there is a leader, and a controller
+# The same while the replica is not loaded yet. It is unknown then whether there is a leader, and a controller
 # that has just started may be the only one.
 CAMPAIGNS_PER_LEASE_UNTIL_LOADED = 60
-# Candidates wait for a random part of this, so that one usually wins before the others ask for a lease.
+# The largest random delay before a campaign, in seconds. With different delays one candidate usually wins
+# before the other candidates request a lease.
 MAX_CAMPAIGN_JITTER_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class ElectionHandlers:
-    """The functions that an election calls."""
+    """The callbacks of an election."""
 
     # Called when this controller is elected.
     on_elected: Callable[[Term], None]
-    # Called with the reason when this controller does not lead any more.
+    # Called with the reason when this controller no longer leads.
     on_deposed: Callable[[str], None]
-    # Whether this controller may campaign at present.
+    # Returns whether this controller may campaign at present.
     may_campaign: Callable[[], bool] = lambda: True
 
 
 class Election:
-    """One controller's part in the elections: it campaigns while there is no leader, and renews its lease
-    while it leads."""
+    """One controller's participation in the elections.
+
+    It campaigns while there is no leader, and renews its lease while it leads.
+    """
 
     def __init__(
         self,
@@ -72,25 +76,27 @@
         self._lease_renewer = LeaseRenewer(client, lease_ttl)
         self._handlers = handlers
         self._rng = rng or random.Random()
+        # The current term of this controller; None while it does not lead.
         self.term: Term | None = None
+        # The value of the leader key in the replica; None if the key does not exist.
         self.leader: LeaderRecord | None = None
-        # The mod_revision of the latest known change of the leader key.
+        # The revision of the latest known change of the leader key, deletions included.
         self._leader_key_revision = 0
-        # The token in the store.
+        # The token of the last election, as stored under the token key.
         self._stored_token = 0
-        # The token of the leader whose process seems to have ended.
+        # The token of the leader whose process appears to have ended; None if there is none.
         self._ended_leader_token: int | None = None
         self._campaigning = False
-        # The highest token known from anywhere: the store, peers, heartbeats of workers.
+        # The highest token observed in the store, in peers' heartbeats and in workers' heartbeats.
         self.highest_token = 0
         replica.subscribe(self.on_change)
 
     def start(self) -> None:
-        """Begins to campaign, or to renew the lease."""
+        """Starts the loop that campaigns or renews the lease."""
         run_forever(self._clock, self._run, "election")
 
     def on_change(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        """Observes a changed key of the replica; the value is None if the key was deleted."""
+        """Observes a changed key of the replica; `value` is None if the key was deleted."""
         if key == LEADER:
             self._on_leader_key_changed(value, mod_revision)
         elif key == TOKEN and value is not None:
@@ -98,13 +104,13 @@
             self.observe_token(self._stored_token)
 
     def observe_token(self, token: int) -> None:
-        """Takes note of a token in use, and steps down if it is higher than this leader's own."""
+        """Records a token in use, and steps down if it is higher than the token of this controller's term."""
         self.highest_token = max(self.highest_token, token)
         if self.term is not None and token > self.term.token:
             self.step_down(f"higher token {token} observed")
 
     def step_down(self, reason: str) -> None:
-        """Ends this controller's term, if it leads. The leader key remains until the lease expires."""
+        """Ends this controller's term if it leads. The leader key remains until the lease expires."""
         if self.term is None:
             return
         log.info("deposed token=%d reason=%s", self.term.token, reason)
@@ -112,7 +118,7 @@
         self._handlers.on_deposed(reason)
 
     async def resign(self, reason: str) -> None:
-        """Steps down and revokes the lease, so that another controller need not wait for its end."""
+        """Steps down and revokes the lease, so that another controller can be elected before it expires."""
         term = self.term
         if term is None:
             return
@@ -123,10 +129,11 @@
             log.info("lease not revoked token=%d reason=%s", term.token, error)
 
     def on_peer_process_ended(self, controller: str) -> None:
-        """Campaigns at once if the process that seems to have ended is the leader's.
+        """Starts a campaign at once if `controller`, whose process appears to have ended, is the leader.
 
-        It does not wait for the lease: the transaction is conditional on the mod_revision of the leader key,
-        and so is every write of the former leader. A mistake costs a change of leader and nothing else.
+        The campaign does not wait until the lease expires. This is safe because its transaction, like every
+        write of the former leader, is conditional on the mod_revision of the leader key. If the process has
+        not ended, the only consequence is a change of leader.
         """
         if self.leader is not None and self.leader.controller == controller and self.term is None:
             self._ended_leader_token = self.leader.token
@@ -140,7 +147,7 @@
         if self.leader is not None:
             self.observe_token(self.leader.token)
         elif not self._campaigning:
-            # Without this the vacancy would last until the next campaign is due.
+            # Otherwise there would be no leader until the next periodic campaign.
             run_in_background(self._campaign(), "campaign")
 
     async def _run(self) -> None:
@@ -167,7 +174,7 @@
             return self._lease_renewer.renewal_interval
 
     def _is_vacant(self) -> bool:
-        # A leader key with this controller's name, while it does not lead, is left from its former process.
+        # A leader key that names this controller while it does not lead was left by an earlier process.
         return self._replica.loaded and (
             self.leader is None
             or self.leader.controller == self._controller
@@ -175,7 +182,7 @@
         )
 
     async def _campaign(self) -> None:
-        """Tries to become the leader, unless there is one or this controller may not campaign."""
+        """Tries to become the leader, unless there is a leader or this controller may not campaign."""
         if (
             self._campaigning
             or self.term is not None
@@ -195,9 +202,9 @@
             self._campaigning = False
 
     async def _take_leader_key(self) -> None:
-        """Writes the leader key under a new lease, on condition that it is unchanged since it was vacant."""
-        # Read before the lease is granted: another controller may be elected meanwhile, and with the
-        # mod_revisions of afterwards this one would depose it at once.
+        """Writes the leader key, bound to a new lease, if it has not changed since it was found vacant."""
+        # The mod_revisions are read before the lease is requested. Another controller may be elected while
+        # the lease is granted, and with newer mod_revisions this one would depose that leader at once.
         conditions = [Condition(key, self._replica.mod_revisions.get(key, 0)) for key in (LEADER, TOKEN)]
         lease = await self._client.grant_lease(self._lease_ttl)
         token = max(self._stored_token, self.highest_token) + 1
@@ -212,8 +219,8 @@
         if not isinstance(result, Committed):
             await self._client.revoke_lease(lease)
         elif self._leader_key_revision > result.revision or self.highest_token > token:
-            # The response was slow, and the replica has already shown what ended the term. It will not show
-            # it again, so a term that began now would have no end.
+            # The replica has delivered the change that ended this term before the store's response arrived.
+            # It is not delivered again, so a term that began now would not end.
             log.info("not elected token=%d reason=the term ended before the store's response came", token)
             await self._client.revoke_lease(lease)
         else:
--- a/spindleglade/leadership/errors.py
+++ b/spindleglade/leadership/errors.py
@@ -6,7 +6,7 @@
 
 
 class PeerUnreachableError(LeadershipError):
-    """A request to a peer was not sent, or got no response in time."""
+    """A request to a peer was not sent, or no response to it arrived in time."""
 
     def __init__(self, peer: str, reason: str) -> None:
         super().__init__(f"request to controller {peer} failed: {reason}")
--- a/spindleglade/leadership/monitor.py
+++ b/spindleglade/leadership/monitor.py
@@ -1,8 +1,7 @@
-"""Decides when a leader steps down or resigns by itself, and then keeps it from campaigning for a while.
+"""Decides when a leader gives up leadership, and keeps it from campaigning for some time after resigning.
 
-A leader that cannot do its work must not keep a peer from doing it: one that is cut off from the store and
-all peers, that receives no heartbeats of machines, that no machine receives anything from, or whose periodic
-tasks get nothing done.
+A leader that cannot do its work must leave it to a peer. This is the case if the leader is isolated from the
+store and all peers, receives no heartbeats from machines, cannot reach any machine, or has stalled.
 """
 
 import logging
@@ -16,67 +15,70 @@
 
 log = logging.getLogger("spindleglade.leadership")
 
+# The time between two checks.
 CHECK_INTERVAL = seconds(0.5)
-# A check that begins so long after the one before shows that this process was busy or suspended.
+# A check that starts later than this after the previous one shows that this process was busy or suspended.
 LATE_CHECK_INTERVAL = seconds(0.75)
-# Shortest time between two resignations in favour of a peer: where all controllers fare alike, leadership
-# must not go round in circles. For a stalled leader it doubles with each resignation, up to the maximum.
+# The shortest time between two resignations in favour of a peer. It keeps leadership from changing all the
+# time if all controllers have the same problem. For a stalled leader it doubles with each resignation, up to
+# the maximum.
 MIN_RESIGN_INTERVAL = timedelta(seconds=60)
 MAX_RESIGN_INTERVAL = timedelta(minutes=16)
-# Heartbeats that all machines must have missed for the leader to count as receiving none, and the shortest
-# time for which it must have received none.
+# The silence limit is the time without any heartbeat after which a leader counts as receiving none: this many
+# heartbeat intervals of the machines, but at least the minimum.
 MISSED_HEARTBEATS = 3
 MIN_SILENCE_LIMIT = seconds(3)
-# Silence limits for which a controller does not campaign after it has resigned.
+# How long a controller does not campaign after it has resigned, in silence limits.
 CAMPAIGN_PAUSE_SILENCE_LIMITS = 2
+# The initial time of the last late check, long before the clock's zero.
 NEVER_RAN_LATE = timedelta(days=-1)
 
 
 class MonitoredLeader(Protocol):
-    """What the monitor needs to know of the leader's work."""
+    """The leader's state that the monitor checks."""
 
     @property
     def is_active(self) -> bool:
-        """Whether it has read the records and begun its work."""
+        """Whether the recovery is complete and the term is not over."""
 
     @property
     def stall_reason(self) -> str | None:
-        """Why its periodic tasks get nothing done; None if they do."""
+        """Why the leader has stalled; None if it has not."""
         ...
 
     @property
     def is_unreachable_for_machines(self) -> bool:
-        """Whether its messages do not arrive at the machines, though their heartbeats arrive here."""
+        """Whether no request of the leader reaches the machines although their heartbeats arrive."""
         ...
 
-    def receives_no_heartbeats(self, limit: timedelta) -> bool:
-        """Whether there are machines, but no heartbeat of any of them has arrived within the limit."""
+    def receives_no_heartbeats(self, silence_limit: timedelta) -> bool:
+        """Whether there are machines, and none of them has sent a heartbeat within `silence_limit`."""
         ...
 
 
 class Connectivity(Protocol):
-    """What a controller knows of its connections to the store and to its peers."""
+    """The state of a controller's connections to the store and to its peers."""
 
     @property
     def has_peers(self) -> bool:
-        """Whether the deployment has other controllers at all."""
+        """Whether the deployment has other controllers."""
         ...
 
     def reaches_a_peer(self) -> bool:
-        """Whether the connection to some peer is up."""
+        """Whether the connection to at least one peer is up."""
         ...
 
     def reaches_a_serving_peer(self) -> bool:
-        """Whether the connection to a peer that has lately reached the store is up."""
+        """Whether the connection to at least one peer that has recently reached the store is up."""
         ...
 
     def is_leadership_proven(self) -> bool:
-        """Whether this controller would have learned lately of a higher token, had there been one."""
+        """Whether this controller, if it leads, has recent proof that no later term has begun."""
         ...
 
 
 class LeadershipMonitor:
-    """Checks the leader, if this controller leads, and the controller's connectivity twice a second."""
+    """Checks the controller's connectivity periodically, and the leader while this controller leads."""
 
     def __init__(
         self,
@@ -87,31 +89,33 @@
         heartbeat_interval: timedelta,
         proof_validity: timedelta,
     ) -> None:
-        """`leader` returns the leader while this controller leads. `heartbeat_interval` is that of the
-        machines. `proof_validity` is how long a controller may take itself for the leader after a proof."""
+        """`leader` returns the leader; None while this controller does not lead. `heartbeat_interval` is the
+        heartbeat interval of the machines. `proof_validity` is how long leadership counts as proven after the
+        replica was last current. For the same time after a late check, the connectivity and the leader are
+        not checked."""
         self._clock = clock
         self._election = election
         self._connectivity = connectivity
         self._leader = leader
         self._silence_limit = max(heartbeat_interval * MISSED_HEARTBEATS, MIN_SILENCE_LIMIT)
         self._proof_validity = proof_validity
-        self._no_campaign_until = ZERO
+        self._campaigning_paused_until = ZERO
         # When this controller last resigned in favour of a peer.
         self._resigned_at = -MAX_RESIGN_INTERVAL
         self._stalled_resign_interval = MIN_RESIGN_INTERVAL
-        # When this process last ran late.
+        # When a check was last late.
         self._ran_late_at = NEVER_RAN_LATE
-        # Since when this controller has had neither the store nor a peer; None while it has one of them.
+        # Since when this controller has been isolated from the store and all peers; None while it is not.
         self.isolated_since: timedelta | None = None
 
     def start(self) -> None:
-        """Starts the checks."""
+        """Starts the periodic checks."""
         run_forever(self._clock, self._run, "leadership monitor")
 
     @property
     def may_campaign(self) -> bool:
         """Whether this controller may campaign at present."""
-        return self._clock.now() >= self._no_campaign_until
+        return self._clock.now() >= self._campaigning_paused_until
 
     async def _run(self) -> None:
         while True:
@@ -119,8 +123,8 @@
             await sleep(self._clock, CHECK_INTERVAL)
             now = self._clock.now()
             if now - previous > LATE_CHECK_INTERVAL:
-                # What a busy process has not received may only be late. If the one controller that all
-                # workers can reach stepped down for being slow, all their leases would expire.
+                # Messages that a busy process has not received may be waiting to be read. If this is the only
+                # controller that the workers reach and it steps down for being slow, all leases expire.
                 self._ran_late_at = now
             if now - self._ran_late_at >= self._proof_validity:
                 await self._check(now)
@@ -137,9 +141,10 @@
             await self._check_machines(leader, now)
 
     def _check_isolation(self, now: timedelta) -> None:
-        """Steps down if the store and all peers are out of reach, even while machines still reach this one.
+        """Steps down if the store and all peers are unreachable, even if machines still reach the controller.
 
-        Another controller leads by then, or will, and nothing that this one decides can be recorded.
+        Another controller leads already or will be elected, and no decision of this controller can be
+        recorded.
         """
         connectivity = self._connectivity
         reached = not connectivity.has_peers or connectivity.reaches_a_peer()
@@ -157,17 +162,17 @@
 
     async def _check_machines(self, leader: MonitoredLeader, now: timedelta) -> None:
         if leader.is_unreachable_for_machines:
-            # Commands already sent may arrive once the partition is over. The next leader's token is higher
-            # by then, and it places a task whose start never arrived once more.
-            await self._resign_for_peer("its messages do not reach the machines", MIN_RESIGN_INTERVAL)
+            # Commands that were already sent may arrive when the partition ends, but by then the next
+            # leader's token is higher. That leader places a task again if its start command never arrived.
+            await self._resign_for_peer("its requests do not reach the machines", MIN_RESIGN_INTERVAL)
         elif leader.receives_no_heartbeats(self._silence_limit) and not self._connectivity.reaches_a_peer():
             self._pause_campaigning(now)
-            await self._election.resign("it receives nothing from machines and peers")
+            await self._election.resign("it receives no messages from machines or peers")
 
     async def _resign_for_peer(self, reason: str, min_interval: timedelta) -> bool:
-        """Resigns if a peer reaches the store, and so may do better.
+        """Resigns if a peer reaches the store and could therefore lead.
 
-        Does nothing within `min_interval` of the last such resignation. Returns whether it resigned.
+        Does nothing within `min_interval` of the last resignation of this kind. Returns whether it resigned.
         """
         now = self._clock.now()
         if now - self._resigned_at <= min_interval or not self._connectivity.reaches_a_serving_peer():
@@ -178,4 +183,4 @@
         return True
 
     def _pause_campaigning(self, now: timedelta) -> None:
-        self._no_campaign_until = now + self._silence_limit * CAMPAIGN_PAUSE_SILENCE_LIMITS
+        self._campaigning_paused_until = now + self._silence_limit * CAMPAIGN_PAUSE_SILENCE_LIMITS
--- a/spindleglade/leadership/peer_cancellations.py
+++ b/spindleglade/leadership/peer_cancellations.py
@@ -1,14 +1,17 @@
-"""Keeps what peers report of cancelled jobs, and up to when this controller knows all cancellations.
+"""Tracks the cancellations that peers report, and up to what time this controller knows all cancellations.
 
-A cancellation is confirmed to a user by some controller. So a leader that cannot reach the store, but has
-been told by every peer "I know of no other cancellations than these", knows all that any of them had
-confirmed when it was asked. Of a process that has ended since, nobody can say what it had confirmed. A peer's
-report therefore counts only if the same process was first heard of before the store last proved the replica
-current: what it, or a process before it, had confirmed by then is in the replica, and what it confirmed later
-it reports itself.
+Every cancellation is confirmed to a user by one of the controllers. If each peer has reported all
+cancellations that it knows, a leader that cannot reach the store knows every cancellation that any peer had
+confirmed when the report was requested.
 
-Only the leader may rely on this. Another controller could learn in this way that a job is cancelled, but not
-that a start of its tasks is under way to a machine: only records that it has not read say that.
+A process that has ended cannot report what it had confirmed. A peer's report therefore counts only if the
+leader first heard of the peer's process before the replica was last known to be current. Everything that this
+process and its predecessors had confirmed by that time is in the replica, and the process itself reports what
+it confirmed later.
+
+Only the leader may rely on these reports. A follower would learn from them that a job is cancelled, but not
+that a command to start the job's tasks is on its way to a machine. That is only in records that the follower
+has not read.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,14 +23,16 @@
 
 @dataclass(slots=True)
 class _PeerProcess:
+    # The process ID in the peer's heartbeats.
     process: str
+    # When the first heartbeat of the process arrived.
     first_heard_at: timedelta
-    # When it was asked for the cancellations that it last reported; None before the first report.
+    # When the process's latest report of cancellations was requested; None before the first report.
     complete_as_of: timedelta | None = None
 
 
 class PeerCancellationLog:
-    """The cancellations that peers have reported, and how complete they are."""
+    """Passes on the cancellations that peers report, and tracks up to what time all of them are known."""
 
     def __init__(
         self,
@@ -36,10 +41,11 @@
         replica_current_as_of: Callable[[], timedelta | None],
         observe_cancellation: Callable[[str, int], None],
     ) -> None:
-        """`replica_current_as_of` returns when the replica was last known to be current, and
-        `observe_cancellation` is called with each cancelled job and the mod_revision of its record."""
+        """`replica_current_as_of` returns when the replica was last known to be current; None if it never
+        was. `observe_cancellation` is called with each cancelled job and the mod_revision of the job's
+        record."""
         self._clock = clock
-        # The present process of each peer; None before its first heartbeat.
+        # The current process of each peer; None before the first heartbeat of the peer.
         self._processes: dict[str, _PeerProcess | None] = dict.fromkeys(peers)
         self._replica_current_as_of = replica_current_as_of
         self._observe_cancellation = observe_cancellation
@@ -53,8 +59,9 @@
     ) -> None:
         """Observes a peer's heartbeat.
 
-        `cancellations` are the cancelled jobs that it reports, each with the mod_revision of its record; None
-        if it reports none at all. `requested_at` is when the heartbeat was sent that it acknowledges, if any.
+        `cancellations` holds the reported cancelled jobs, each with the mod_revision of its record; None if
+        the heartbeat contains no report. `requested_at` is when the acknowledged heartbeat was sent; None if
+        this heartbeat is not an acknowledgement.
         """
         if controller not in self._processes:
             return
@@ -68,8 +75,8 @@
 
     @property
     def complete_as_of(self) -> timedelta | None:
-        """The latest time up to which this controller knows all cancellations, from the store or from all
-        peers; None if the replica was never current."""
+        """The time up to which this controller knows all cancellations, from the store or from the reports of
+        all peers; None if the replica was never current."""
         current_as_of = self._replica_current_as_of()
         if current_as_of is None or not self._processes:
             return current_as_of
--- a/spindleglade/leadership/peer_connection.py
+++ b/spindleglade/leadership/peer_connection.py
@@ -1,6 +1,6 @@
-"""Keeps a connection to one peer, sends heartbeats over it, and replaces it when the peer falls silent.
+"""Maintains a connection to one peer, sends heartbeats over it, and replaces it when the peer is silent.
 
-A connection across a network partition hangs without any error, so silence is all that shows it.
+A connection across a network partition hangs without an error, so only silence reveals the partition.
 """
 
 import logging
@@ -28,13 +28,13 @@
 
 log = logging.getLogger("spindleglade.leadership")
 
-# An attempt to connect may take two heartbeat intervals, but never less than this.
+# The timeout of an attempt to connect, in heartbeat intervals, and the smallest timeout in seconds.
 CONNECT_TIMEOUT_INTERVALS = 2
 MIN_CONNECT_TIMEOUT_S = 1.0
 
 
 class PeerConnection:
-    """The connection that this controller opens to one peer, for its heartbeats and requests."""
+    """The connection that this controller opens to one peer to send heartbeats and requests."""
 
     def __init__(
         self, reactor: Any, clock: Clock, peer: Peer, heartbeat_interval: timedelta, handlers: PeerHandlers
@@ -43,41 +43,44 @@
         self._clock = clock
         self._heartbeat_interval = heartbeat_interval
         self._handlers = handlers
+        # The current connection; None while the peer is not connected.
         self._connection: PeerProtocol | None = None
         self._failure_detector = PeerFailureDetector(clock, heartbeat_interval)
         self._pending_requests = PendingRequests(clock, peer.name)
         self._wakeup = Wakeup()
         self.peer = peer
+        # The latest heartbeat of the peer, over any connection; None before the first.
         self.last_heartbeat: PeerHeartbeat | None = None
 
     @property
     def is_up(self) -> bool:
-        """Whether requests can be sent: the peer has lately sent something over this connection."""
+        """Whether requests can be sent: the peer has recently sent a message over the current connection."""
         return self._connection is not None and self._failure_detector.received_recently
 
     @property
     def last_message_at(self) -> timedelta | None:
-        """When the peer last sent something over this connection; None before its first message."""
+        """When the latest message of the peer over the current connection arrived; None before the first."""
         return self._failure_detector.last_message_at
 
     @property
     def acknowledged_recently(self) -> bool:
-        """Whether the peer has acknowledged a heartbeat that was sent lately."""
+        """Whether the peer has acknowledged a heartbeat that was sent recently."""
         return self._failure_detector.acknowledged_recently
 
     @property
     def acknowledged_heartbeat_sent_at(self) -> timedelta | None:
-        """When the heartbeat was sent that the peer last acknowledged."""
+        """When the heartbeat that the peer acknowledged last was sent; None before the first."""
         return self._failure_detector.acknowledged_heartbeat_sent_at
 
     def start(self) -> None:
-        """Connects, and from then on connects again whenever the connection is lost."""
+        """Starts to connect to the peer, and to reconnect whenever the connection is lost."""
         run_forever(self._clock, self._run, "peer connection")
 
     async def request(self, make_request: Callable[[int], Message], timeout: timedelta) -> Any:
-        """Sends the request that is made for a new request ID, and returns its response.
+        """Sends the request that `make_request` creates for a new request ID, and returns the response.
 
-        Raises PeerUnreachableError if the connection is down or lost, or if there is no response in time.
+        Raises PeerUnreachableError if the connection is down or is lost, or if no response arrives within
+        `timeout`.
         """
         if not self.is_up:
             raise PeerUnreachableError(self.peer.name, "the connection is down")
@@ -90,18 +93,18 @@
             started_at = self._clock.now()
             try:
                 await self._connect(host, port)
-            except Exception as error:  # noqa: BLE001  (whatever failed, the peer is tried again)
+            except Exception as error:  # noqa: BLE001  (whatever fails, the connection is retried)
                 self._on_connect_failed(error)
                 await sleep(self._clock, self._heartbeat_interval)
                 continue
             await self._send_heartbeats_until_lost()
-            # A peer that accepts each connection and closes it at once must not be connected to in a loop.
+            # A peer that closes each connection at once is connected to at most once per heartbeat interval.
             remaining = started_at + self._heartbeat_interval - self._clock.now()
             if remaining > ZERO:
                 await sleep(self._clock, remaining)
 
     async def _connect(self, host: str, port: int) -> None:
-        factory: Any = Factory.forProtocol(lambda: PeerProtocol(self._on_message, self._on_protocol_closed))
+        factory: Any = Factory.forProtocol(lambda: PeerProtocol(self._on_message, self._on_connection_closed))
         factory.noisy = False
         interval_s = self._heartbeat_interval.total_seconds()
         timeout = max(MIN_CONNECT_TIMEOUT_S, interval_s * CONNECT_TIMEOUT_INTERVALS)
@@ -115,7 +118,7 @@
             self._handlers.on_peer_process_ended(self.peer.name)
 
     async def _send_heartbeats_until_lost(self) -> None:
-        """Sends heartbeats over a new connection until it is lost, or closed because the peer is silent."""
+        """Sends heartbeats over a new connection until it is lost or is closed because the peer is silent."""
         self._failure_detector.on_connected()
         while self._connection is not None:
             self._failure_detector.on_heartbeat_sent()
@@ -132,8 +135,8 @@
         if timer.active():
             timer.cancel()
 
-    def _on_protocol_closed(self, connection: PeerProtocol) -> None:
-        # A connection that this end has closed is not the present one any more.
+    def _on_connection_closed(self, connection: PeerProtocol) -> None:
+        # A connection that this controller has closed is no longer the current one.
         if connection is self._connection:
             self._on_closed_by_peer()
 
--- a/spindleglade/leadership/peer_handlers.py
+++ b/spindleglade/leadership/peer_handlers.py
@@ -1,4 +1,4 @@
-"""What a controller does on the events of its peer network."""
+"""The callbacks by which a peer network passes its events to the controller."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -18,15 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHandlers:
-    """The functions that a peer network calls."""
+    """The callbacks of a peer network."""
 
-    # Makes a heartbeat: an acknowledgement if it is given the revision of the peer that sent one.
+    # Creates a heartbeat. The argument is the revision in the heartbeat that it acknowledges; None if the new
+    # heartbeat is not an acknowledgement.
     make_heartbeat: Callable[[int | None], PeerHeartbeat]
-    # Answers relayed heartbeats of workers; None if this controller does not lead.
+    # Returns the responses to relayed heartbeats of workers; None if this controller does not lead.
     on_relayed_heartbeats: Callable[[list[bytes]], list[bytes] | None]
-    # Serves a forwarded user request, given its method, path and body.
+    # Serves a forwarded user request; the arguments are its method, path and body.
     on_forwarded_request: Callable[[str, str, bytes], Awaitable[ForwardedResponse]]
-    # Observes a peer's heartbeat and, if it is an acknowledgement, when the acknowledged one was sent.
+    # Observes a peer's heartbeat. The second argument is when the heartbeat that it acknowledges was sent;
+    # None if it is not an acknowledgement.
     on_heartbeat: Callable[[PeerHeartbeat, timedelta | None], None]
-    # Called with the name of a peer whose process seems to have ended.
+    # Called with the name of a peer whose process appears to have ended.
     on_peer_process_ended: Callable[[str], None]
--- a/spindleglade/leadership/peer_network.py
+++ b/spindleglade/leadership/peer_network.py
@@ -1,4 +1,4 @@
-"""Connects a controller with all its peers, and serves the requests that they send."""
+"""Connects a controller to all of its peers and serves the requests of the peers."""
 
 from datetime import timedelta
 from typing import Any, Protocol
@@ -21,19 +21,20 @@
 from spindleglade.settings.platform import Peer
 
 
-class Peers(Protocol):
-    """What a controller needs of its peer network."""
+class PeerNetworkInterface(Protocol):
+    """The part of a peer network that a controller uses."""
 
+    # One connection per peer.
     connections: list[Any]
 
     def start(self) -> None:
         """Starts to connect to all peers."""
 
     def connection_to(self, controller: str) -> Any:
-        """The connection to that controller if it is up."""
+        """Returns the connection to the named controller; None if it is not up."""
 
     def server_factory(self) -> Any:
-        """Makes the protocols for the connections that peers open to this controller."""
+        """Returns the Twisted factory for the connections that peers open to this controller."""
 
 
 class PeerNetwork:
@@ -58,7 +59,7 @@
             connection.start()
 
     def connection_to(self, controller: str) -> PeerConnection | None:
-        """The connection to that controller if it is up."""
+        """Returns the connection to the named controller; None if it is not up."""
         return next(
             (
                 connection
@@ -69,7 +70,7 @@
         )
 
     def server_factory(self) -> "Factory[PeerProtocol]":
-        """Makes the protocols for the connections that peers open to this controller."""
+        """Returns the Twisted factory for the connections that peers open to this controller."""
         factory = Factory.forProtocol(lambda: PeerProtocol(self._on_request, lambda connection: None))
         factory.noisy = False
         return factory
@@ -82,7 +83,7 @@
             responses = self._handlers.on_relayed_heartbeats(message.heartbeats)
             connection.send(HeartbeatRelayResponse(message.request_id, responses))
         elif isinstance(message, UserRequestForward):
-            run_in_background(self._respond_to_forward(connection, message), "answer forward")
+            run_in_background(self._respond_to_forward(connection, message), "respond to forwarded request")
 
     async def _respond_to_forward(self, connection: PeerProtocol, message: UserRequestForward) -> None:
         response = await self._handlers.on_forwarded_request(message.method, message.path, message.body)
--- a/spindleglade/leadership/peer_transport.py
+++ b/spindleglade/leadership/peer_transport.py
@@ -1,4 +1,4 @@
-"""Sends and receives messages over one TCP connection, and matches responses with their requests."""
+"""Sends and receives messages over one TCP connection, and matches responses to requests."""
 
 import logging
 from collections.abc import Callable
@@ -15,12 +15,12 @@
 
 log = logging.getLogger("spindleglade.leadership")
 
-# A longer message closes its connection.
+# The maximum length of a message. A longer message closes the connection.
 MAX_MESSAGE_BYTES = 1 << 20
 
 
 class PeerProtocol(Int32StringReceiver):
-    """Either end of a connection between two controllers; each message follows its length in four bytes."""
+    """One end of a connection between two controllers; a length of four bytes precedes each message."""
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
     # Set by Twisted before connectionMade is called.
@@ -58,12 +58,12 @@
             self.sendString(encode_message(message))  # type: ignore[no-untyped-call]  # Twisted's
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Called by Twisted when the connection is closed by either end."""
+        """Called by Twisted when either end has closed the connection."""
         self._on_connection_lost(self)
 
 
 class PendingRequests:
-    """The requests to one peer that have no response yet."""
+    """The requests to one peer that wait for a response."""
 
     def __init__(self, clock: Clock, peer: str) -> None:
         self._clock = clock
@@ -74,9 +74,9 @@
     async def send(
         self, connection: PeerProtocol, make_request: Callable[[int], Message], timeout: timedelta
     ) -> Any:
-        """Sends the request that is made for a new request ID, and returns its response.
+        """Sends the request that `make_request` creates for a new request ID, and returns the response.
 
-        Raises PeerUnreachableError if there is none within the timeout, or if the connection is lost.
+        Raises PeerUnreachableError if no response arrives within `timeout` or the connection is lost.
         """
         self._last_request_id += 1
         request_id = self._last_request_id
@@ -91,13 +91,13 @@
                 timer.cancel()
 
     def on_response(self, message: Response) -> None:
-        """Hands a response to the caller that waits for it, if there still is one."""
+        """Passes a response to the caller that waits for it; ignored if the request is no longer pending."""
         response = self._responses.pop(message.request_id, None)
         if response is not None:
             response.callback(message)
 
     def fail_all(self, reason: str) -> None:
-        """Fails all requests that have no response yet."""
+        """Fails all pending requests with PeerUnreachableError."""
         responses, self._responses = self._responses, {}
         for response in responses.values():
             response.errback(PeerUnreachableError(self._peer, reason))
--- a/spindleglade/leadership/term.py
+++ b/spindleglade/leadership/term.py
@@ -1,4 +1,4 @@
-"""What the store holds of a leader's term, and what the leader itself knows of it."""
+"""The term of a leader, and the records of it in the store."""
 
 import msgspec
 
@@ -17,20 +17,22 @@
 
 
 class TokenRecord(msgspec.Struct, frozen=True):
-    """The value of the token key: the token of the last election. It outlives every lease."""
+    """The value of the token key: the fencing token of the last election. It is not bound to a lease."""
 
     token: int
 
 
 class Term(msgspec.Struct, frozen=True):
-    """A won election: the fencing token for workers, and what makes the leader's writes conditional."""
+    """A term of a leader, which begins with a won election."""
 
+    # The fencing token in commands to workers.
     token: int
-    # Of the leader key, as written by this election.
+    # The mod_revision of the leader key as written by the election.
     mod_revision: int
+    # The ID of the lease that the leader key is bound to.
     lease: int
 
     @property
     def condition(self) -> Condition:
-        """The condition on every write of the leader: that nobody was elected since."""
+        """The condition on every write of the leader: no other controller has been elected since."""
         return Condition(LEADER, self.mod_revision)
--- a/spindleglade/leadership/test_election.py
+++ b/spindleglade/leadership/test_election.py
@@ -1,4 +1,4 @@
-"""Elections and lease renewals, under generated faults and in single cases."""
+"""Tests of elections and lease renewals, under random faults and in single cases."""
 
 import dataclasses
 import random
@@ -15,7 +15,7 @@
 from tests.simulated_deployment import SimulatedDeployment
 
 LEASE_TTL = seconds(4)
-# Longer than the jitter of a campaign.
+# Longer than the maximum jitter of a campaign.
 CAMPAIGN_DURATION = seconds(0.1)
 
 
@@ -34,7 +34,7 @@
 
 
 class FakeStore:
-    """A store that grants a lease and commits the transaction of the campaign."""
+    """A store that grants every lease and commits every transaction."""
 
     async def grant_lease(self, ttl):
         return 5
@@ -47,7 +47,7 @@
 
 
 def record_tokens(controller, tokens):
-    """Appends the token of each election that the controller wins."""
+    """Appends the token of each election that `controller` wins to `tokens`."""
     handlers = controller.election._handlers
 
     def on_elected(term):
@@ -59,8 +59,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_leaders_follow_one_another_with_rising_tokens(seed):
-    """Through kills, outages and lost leases no token is used twice, and there is one leader again once all
-    faults are over."""
+    """After kills, store outages and lost leases, no token was used twice, and one controller leads when the
+    faults have ended."""
     rng = random.Random(seed)
     deployment = SimulatedDeployment(seed)
     tokens: list[int] = []
@@ -91,16 +91,18 @@
     deployment.run(seconds(3))
     leader = deployment.leader()
     deposed = deployment.controllers[deployment.controller_names[leader]]
-    # Its lease expires unnoticed: it can neither renew nor watch, and still takes itself for the leader.
+    # The leader can neither renew its lease nor watch the store, so it does not learn that the lease expired.
     deployment.network.refused_by_store.add(deployment.controller_names[leader])
     deployment.network.cut(
         deployment.controller_names[leader], deployment.controller_names, False, seconds(9)
     )
     for _ in range(80):
-        if sum(other.is_leader for other in deployment.controllers.values()) == 2:
+        if sum(controller.is_leader for controller in deployment.controllers.values()) == 2:
             break
         deployment.run(seconds(0.1))
-    assert deposed.is_leader and sum(other.is_leader for other in deployment.controllers.values()) == 2
+    assert (
+        deposed.is_leader and sum(controller.is_leader for controller in deployment.controllers.values()) == 2
+    )
     job = deployment.users.submit(1, threads=2, run_s=1.0)
     deployment.network.refused_by_store.clear()
     deployment.run(seconds(15))
@@ -111,7 +113,7 @@
 
 
 def test_a_leader_without_store_and_peers_steps_down_though_its_workers_reach_it():
-    """Else it would go on renewing their leases without any command for them."""
+    """Otherwise the leader would keep renewing the workers' leases without sending them any commands."""
     deployment = SimulatedDeployment(3)
     deployment.run(seconds(3))
     leader = deployment.leader()
@@ -122,8 +124,8 @@
 
 
 def test_an_election_during_a_campaign_is_not_taken_for_the_vacancy():
-    """Another controller is elected while this one's lease is being granted. The conditions must be those of
-    the vacancy, or this one would depose it at once."""
+    """Another controller is elected while this one's lease is being granted. The transaction must be
+    conditional on the vacant leader key, or it would depose the new leader at once."""
 
     class Store(FakeStore):
         async def grant_lease(self, ttl):
@@ -144,8 +146,8 @@
 
 @pytest.mark.parametrize("later", [LeaderRecord("other", 2), None])
 def test_a_term_that_ended_before_the_response_came_never_begins(later):
-    """The response to the winning transaction is slow, and the replica shows first what came after it. A term
-    that began then would last until the next change of the leader key."""
+    """The response to the winning transaction arrives after the replica has delivered a later change of the
+    leader key. A term that began then would not end before the leader key changes again."""
 
     class Store(FakeStore):
         async def compare_and_swap(self, conditions, writes, urgent=False):
@@ -182,8 +184,8 @@
     leader = deployment.leader()
     job = deployment.users.submit(1, threads=3, run_s=3.0)
     deployment.run(seconds(4))
-    other = deployment.controllers[deployment.controller_names[(leader + 1) % 3]]
-    other.election.on_peer_process_ended(deployment.controller_names[leader])
+    follower = deployment.controllers[deployment.controller_names[(leader + 1) % 3]]
+    follower.election.on_peer_process_ended(deployment.controller_names[leader])
     deployment.run(seconds(20))
     assert sum(controller.is_leader for controller in deployment.controllers.values()) == 1
     deployment.users.poll(job)
@@ -192,7 +194,7 @@
 
 
 def test_a_rate_limited_renewal_is_retried_before_the_lease_expires():
-    """If it were retried each quarter of the lease, four refusals would end the lease."""
+    """With one retry per quarter of the lease TTL, the lease would expire after four rejections."""
 
     class Store(FakeStore):
         renewed_at, refusals_left, pauses = seconds(0), 0, []
@@ -214,5 +216,5 @@
     for _ in range(20):
         clock.advance(seconds(1))
     assert election.term is not None and clock.now() - store.renewed_at < LEASE_TTL
-    # Ordinary requests pause until after the next retry.
+    # Each pause of ordinary requests is longer than the delay before the next retry.
     assert store.pauses and min(store.pauses) > LEASE_TTL * RETRY_SHARE
--- a/spindleglade/leadership/test_peer_cancellations.py
+++ b/spindleglade/leadership/test_peer_cancellations.py
@@ -1,4 +1,4 @@
-"""Reports of cancellations by peers: a leader never takes itself to know more than it does."""
+"""Tests that a leader never overestimates up to what time it knows all cancellations."""
 
 from datetime import timedelta
 
@@ -13,8 +13,8 @@
 
 
 class CancellationKnowledge(RuleBasedStateMachine):
-    """Two peers that confirm cancellations to users, restart, and send late acknowledgements; and a store
-    that the controller under test reaches now and then."""
+    """Two peers that confirm cancellations to users, restart and send delayed acknowledgements, and a store
+    that the tested controller reaches at some times."""
 
     @initialize()
     def begin(self):
@@ -27,15 +27,15 @@
             lambda: self.replica_current_as_of,
             lambda job, mod_revision: self.known.add(job),
         )
-        # When each cancellation was confirmed to a user; all of them are in the store.
+        # When each cancellation was confirmed to its user. All cancellations are in the store.
         self.confirmed_at = {}
         self.process = dict.fromkeys(PEERS, 0)
         self.known_by_peer = {peer: set() for peer in PEERS}
         self.acknowledgements = []
 
-    @rule(length=st.floats(0.1, 3))
-    def wait(self, length):
-        self.clock.advance(seconds(length))
+    @rule(duration_s=st.floats(0.1, 3))
+    def wait(self, duration_s):
+        self.clock.advance(seconds(duration_s))
 
     @rule(peer=st.sampled_from(PEERS))
     def peer_confirms_a_cancellation(self, peer):
@@ -58,10 +58,10 @@
         process = f"{peer}{self.process[peer]}"
         self.acknowledgements.append((peer, process, cancellations, self.clock.now()))
 
-    @rule(which=st.integers(0, 9))
-    def acknowledgement_arrives(self, which):
+    @rule(index=st.integers(0, 9))
+    def acknowledgement_arrives(self, index):
         if self.acknowledgements:
-            self.log.on_heartbeat(*self.acknowledgements.pop(which % len(self.acknowledgements)))
+            self.log.on_heartbeat(*self.acknowledgements.pop(index % len(self.acknowledgements)))
 
     @rule(peer=st.sampled_from(PEERS))
     def peer_sends_a_heartbeat(self, peer):
@@ -78,8 +78,8 @@
             return
         complete_as_of = self.log.complete_as_of
         assert complete_as_of is None or complete_as_of >= (self.replica_current_as_of or timedelta(0))
-        for job, at in self.confirmed_at.items():
-            assert job in self.known or complete_as_of is None or complete_as_of <= at
+        for job, confirmed_at in self.confirmed_at.items():
+            assert job in self.known or complete_as_of is None or complete_as_of <= confirmed_at
 
 
 TestCancellationKnowledge = CancellationKnowledge.TestCase
@@ -99,6 +99,6 @@
     log.on_heartbeat("b", "first", [], seconds(7))
     log.on_heartbeat("x", "first", [], seconds(9))
     assert log.complete_as_of == seconds(7)
-    # Nobody can say what the former process had confirmed to users by its end.
+    # It is unknown which cancellations the first process of this peer had confirmed by its end.
     log.on_heartbeat("b", "second", [], seconds(9))
     assert log.complete_as_of == seconds(1)
--- a/spindleglade/leadership/test_peer_connection.py
+++ b/spindleglade/leadership/test_peer_connection.py
@@ -1,4 +1,4 @@
-"""Connections to peers: when they are up, what an acknowledgement proves, and how often they are opened."""
+"""Tests of connections to peers: when they are up, what acknowledgements prove, how often they are opened."""
 
 from twisted.internet.defer import ensureDeferred
 
@@ -11,7 +11,7 @@
 
 
 class SilentProtocol:
-    """A connection that takes what is sent and delivers nothing."""
+    """A connection that records sent messages and never delivers one."""
 
     def __init__(self):
         self.sent = []
@@ -25,7 +25,7 @@
 
 
 def peer_connection(clock, on_connect):
-    """A connection to a peer whose every attempt to connect succeeds; `on_connect` is called after each."""
+    """Creates a connection to a peer. Every attempt to connect succeeds, and then `on_connect` is called."""
     handlers = PeerHandlers(
         make_heartbeat=lambda revision: "heartbeat",
         on_relayed_heartbeats=lambda heartbeats: None,
@@ -44,8 +44,8 @@
 
 
 def test_an_acknowledgement_read_after_a_suspension_proves_no_leadership_since():
-    """A process that resumes after 20 s first reads what its peers sent before. That must not count as a
-    proof that it still leads."""
+    """A process that resumes after a suspension of 20 s first reads messages that its peers sent before.
+    These must not count as a proof that it still leads."""
     clock = ManualClock()
     connection = peer_connection(clock, lambda connection: None)
     heartbeat = PeerHeartbeat("other", 1, False, 0)
@@ -61,19 +61,20 @@
     connection._on_message(protocol, heartbeat)
     assert connection.last_message_at == clock.now()
     assert connection.acknowledged_heartbeat_sent_at == seconds(0.5)
-    # Acknowledgements come in the order of the heartbeats; one more than there were proves nothing.
+    # Acknowledgements arrive in the order of the heartbeats. One without an unacknowledged heartbeat is
+    # ignored.
     connection._on_message(protocol, heartbeat)
     connection._on_message(protocol, heartbeat)
     assert connection.acknowledged_heartbeat_sent_at == seconds(1)
-    # What an earlier connection still delivers acknowledges nothing that was sent over this one.
+    # A message over an earlier connection does not acknowledge a heartbeat over the current one.
     clock.advance(seconds(0.5))
     connection._on_message(SilentProtocol(), heartbeat)
     assert connection.acknowledged_heartbeat_sent_at == seconds(1)
 
 
 def test_a_connection_without_a_message_from_the_peer_is_not_up():
-    """The system accepts connections for a process that is suspended. Messages received before must not
-    count, or requests would be forwarded to it and wait for their timeout."""
+    """The operating system accepts connections for a suspended process. Messages over earlier connections
+    must not count, or users' requests would be forwarded to that process and time out."""
     clock, protocols = ManualClock(), []
     connection = peer_connection(clock, lambda connection: protocols.append(connection._connection))
     connection.start()
@@ -91,9 +92,9 @@
     )
     request.addErrback(lambda failure: errors.append(failure.type))
     assert errors == [PeerUnreachableError]
-    # One connection at a time, given up after four heartbeats.
+    # There is one connection at a time, and each is closed after four heartbeat intervals without a message.
     assert 30 <= len(protocols) <= 37
-    # The first message over the present connection makes it up.
+    # The connection is up again after the first message over it.
     connection._on_message(connection._connection, PeerHeartbeat("other", 1, False, 0))
     assert connection.is_up and not connection.last_heartbeat.leads
 
--- a/spindleglade/leadership/test_peer_failure_detection.py
+++ b/spindleglade/leadership/test_peer_failure_detection.py
@@ -1,4 +1,4 @@
-"""Failure detection: what shows that a peer is silent, or that its process has ended."""
+"""Tests of failure detection: when a peer counts as silent, and when its process counts as ended."""
 
 import pytest
 from twisted.internet.error import ConnectionRefusedError as TcpConnectionRefusedError
@@ -24,7 +24,7 @@
     detector.on_closed_by_peer()
     clock.advance(seconds(delay_s))
     assert detector.has_process_ended(error) == ended
-    # Only the first attempt after the connection was closed can show it.
+    # Only the first attempt after the peer closed the connection can show that its process has ended.
     assert not detector.has_process_ended(TcpConnectionRefusedError())
 
 
--- a/spindleglade/leadership/test_peer_messages.py
+++ b/spindleglade/leadership/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between controllers: what is encoded decodes to the same, and malformed data is refused."""
+"""Tests of the messages between controllers: round trips, and the rejection of malformed data."""
 
 import msgspec
 import pytest
@@ -45,7 +45,7 @@
         decode_message(data)
     except msgspec.DecodeError:
         return
-    # Whatever decodes must be an array of as many items as some message has.
+    # Data that decodes must be an array with as many items as one of the message types, the tag included.
     assert data[:1] in (b"\x92", b"\x93", b"\x94", b"\x95", b"\x96", b"\x97", b"\x98", b"\x99")
 
 
