--- a/spindleglade/controller/history_writer.py
+++ b/spindleglade/controller/history_writer.py
@@ -1,4 +1,4 @@
-"""Writes the teams' histories of run times to the store, so that the next leader predicts from them."""
+"""Writes the teams' run-time histories to the store, so that the next leader can predict from them."""
 
 import logging
 from collections.abc import Callable
@@ -15,8 +15,12 @@
 
 
 class HistoryWriter:
-    """Writes the histories that have changed. Each write depends on the leader key and on the mod revision of
-    its own key: a transaction with an unknown outcome may be applied after newer ones of the same term."""
+    """Writes the histories that have changed.
+
+    Each write is conditional on the leader key and on the mod revision of the history's own key. The second
+    condition is needed because a transaction with an unknown outcome may be applied after newer ones of the
+    same term.
+    """
 
     def __init__(
         self,
@@ -27,8 +31,8 @@
         mod_revisions: dict[str, int],
         on_deposed: Callable[[str], None],
     ) -> None:
-        """`mod_revisions` are those of the stored histories, by key. `on_deposed` is called, with the reason,
-        when a write shows that another term has begun."""
+        """`mod_revisions` holds the mod revisions of the stored histories by key. `on_deposed` is called,
+        with the reason, when a write fails because another term has begun."""
         self._cluster = cluster
         self._predictor = predictor
         self._client = client
@@ -38,15 +42,15 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """No further response is applied, and no further write begun."""
+        """Stops the writer: no write is started any more, and responses are ignored."""
         self._stopped = True
 
     async def write_changed(self) -> None:
-        """Writes the histories of all teams with new runs since they were last written."""
+        """Writes the histories of all teams that have new runs since their last write."""
         teams, writes = self._collect_writes()
         batch_size = self._client.limits.operations
-        for first in range(0, len(writes), batch_size):
-            if not await self._write(writes[first : first + batch_size]):
+        for batch_start in range(0, len(writes), batch_size):
+            if not await self._write(writes[batch_start : batch_start + batch_size]):
                 with self._cluster.lock:
                     self._cluster.teams_with_new_runs |= teams
                 return
@@ -54,18 +58,18 @@
                 return
 
     def _collect_writes(self) -> tuple[set[str], list[Put]]:
-        """The teams with new runs, and the writes of their histories."""
+        """Returns the teams with new runs and the writes of their histories, and clears the set of teams."""
         with self._cluster.lock:
             teams, self._cluster.teams_with_new_runs = self._cluster.teams_with_new_runs, set()
             writes = [
                 Put(HISTORY + team, encode_value(self._predictor.export(team))) for team in sorted(teams)
             ]
-        # Some 25 bins take a few hundred bytes. A history with so many bins that it does not fit is not kept.
+        # About 25 bins take a few hundred bytes. A history with too many bins for one value is not written.
         limit = self._client.limits.value_bytes
         return teams, [put for put in writes if len(put.value) <= limit]
 
     async def _write(self, puts: list[Put]) -> bool:
-        """Whether there is nothing left to write again."""
+        """Writes one batch; returns False if the histories must be written again."""
         conditions = [Condition(put.key, self._mod_revisions.get(put.key, 0)) for put in puts]
         try:
             result = await self._client.compare_and_swap([self._term.condition, *conditions], puts)
@@ -80,8 +84,11 @@
         return False
 
     async def _on_condition_failed(self, result: ConditionFailed) -> None:
-        """Another term has begun, or a write of this one with an unknown outcome was applied. Raises
-        NotAppliedError or OutcomeUnknownError if the current mod revisions cannot be read."""
+        """Handles a failed condition: another term has begun, or an earlier write with an unknown outcome was
+        applied. In the second case the current mod revisions are read for the next attempt.
+
+        Raises NotAppliedError or OutcomeUnknownError if they cannot be read.
+        """
         if LEADER in result.failed:
             self._on_deposed("the leader key changed before a history was written")
             return
--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -1,4 +1,4 @@
-"""All that a controller does only during a term in which it leads: recovery first, then running."""
+"""The leader of one term: recovers the cluster state from the stored records, then runs its components."""
 
 import logging
 from collections.abc import Callable
@@ -16,17 +16,23 @@
 
 log = logging.getLogger("spindleglade.leadership")
 
-# A leader that has not read all records within this time leaves leadership to a peer.
+# A leader whose recovery takes longer than this reports a stall, so that it resigns in favour of a peer.
 MAX_FAILOVER_DURATION = seconds(30)
 
 
 class Leader:
-    """The leader of one term. All methods are called from the event loop."""
+    """Runs the recovery of one term and then the components of the leader.
+
+    All methods are called from the event loop.
+    """
 
     def __init__(
         self, term: Term, dependencies: LeaderDependencies, on_deposed: Callable[[str], None]
     ) -> None:
-        """`on_deposed` is called, with the reason, when the term is over or the recovery fails."""
+        """Creates the leader without starting the recovery.
+
+        `on_deposed` is called, with the reason, when the term is over or the recovery fails.
+        """
         self.term = term
         self._dependencies = dependencies
         self._clock = dependencies.clock
@@ -35,15 +41,15 @@
         self._elected_at = self._clock.now()
         self._predictor = new_predictor(dependencies.settings.backfill)
         self._recovery = Recovery(term.token, dependencies, self._predictor)
-        # None until the recovery is complete.
+        # The components of the leader; None until the recovery is complete.
         self._running: RunningLeader | None = None
 
     def start(self) -> None:
-        """Begins the recovery."""
+        """Starts the recovery."""
         run_in_background(self._fail_over(), "failover", self._on_deposed)
 
     def stop(self) -> None:
-        """Ends the recovery, or stops all components."""
+        """Stops the recovery, and all components if they are running."""
         self._stopped = True
         self._recovery.stop()
         if self._running is not None:
@@ -51,12 +57,12 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether the recovery is complete and the term not over, so that the leader sends commands."""
+        """Whether the recovery is complete and the term is not over; only then are commands sent."""
         return self._running is not None and not self._stopped
 
     @property
     def running(self) -> RunningLeader:
-        """The leader's components. Raises RuntimeError before the recovery is complete."""
+        """The components of the leader. Raises RuntimeError before the recovery is complete."""
         if self._running is None:
             raise RuntimeError(f"recovery is not complete: token {self.term.token}")
         return self._running
@@ -67,7 +73,7 @@
         return self.running.cluster
 
     async def _fail_over(self) -> None:
-        """Recovers the cluster state from all records, and begins to act on it."""
+        """Recovers the cluster state from the stored records, then creates and starts the components."""
         loader = await self._recovery.run()
         if loader is None:
             return
@@ -84,31 +90,34 @@
         running.start()
 
     def on_job_changed(self, record: JobRecord, mod_revision: int) -> None:
-        """A job record has changed in the store."""
+        """Applies a job record that has changed in the store, or keeps it until the recovery applies it."""
         if self._running is None:
             self._recovery.on_job_changed(record, mod_revision)
         else:
             self._running.on_job_changed(record, mod_revision)
 
     def on_dependency_changed(self, job: str) -> None:
-        """The job was released, cancelled through an ancestor, or has got its first dependents."""
+        """Applies a change in the dependency graph: the job was released, was cancelled through an ancestor,
+        or has its first dependents. The recovery applies the whole graph, so earlier changes are ignored."""
         if self._running is not None:
             self._running.pipelines.on_job_changed(job)
 
     def on_leases_renewed_by_peer(self, machines: list[str]) -> None:
-        """A peer that does not reach this leader has renewed the leases of these machines."""
+        """Records that a peer that does not reach this leader has renewed the leases of these machines."""
         if self.is_active:
             self.cluster.on_leases_renewed_by_peer(machines, self._clock.now())
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """The response to a worker; None if its lease must not be renewed. Raises RuntimeError before the
-        recovery is complete."""
+        """Returns the response to a worker's heartbeat; None if the worker's lease must not be renewed.
+
+        Raises RuntimeError before the recovery is complete.
+        """
         return self.running.on_heartbeat(heartbeat)
 
     @property
     def stall_reason(self) -> str | None:
-        """Why this leader gets nothing done, if so: its records cannot be read, or one of its loops fails
-        again and again or does not end a pass."""
+        """Why this leader has stalled: the records could not be read, or one of its loops fails repeatedly or
+        has been in one pass for too long. None if it has not stalled."""
         if self.is_active:
             return self.running.stall_reason
         if self._clock.now() - self._elected_at > MAX_FAILOVER_DURATION:
@@ -117,10 +126,12 @@
 
     @property
     def is_unreachable_for_machines(self) -> bool:
-        """Whether the machines do not receive this leader's requests, though their heartbeats arrive."""
+        """Whether no request of this leader reaches the machines although their heartbeats arrive."""
         return self.is_active and self.running.autoscaler.is_unreachable_for_machines
 
     def receives_no_heartbeats(self, silence_limit: timedelta) -> bool:
-        """Whether there are machines, and no heartbeat of any of them has arrived for that long. Raises
-        RuntimeError before the recovery is complete."""
+        """Whether there are machines, and none of them has sent a heartbeat within `silence_limit`.
+
+        Raises RuntimeError before the recovery is complete.
+        """
         return self.running.receives_no_heartbeats(silence_limit)
--- a/spindleglade/controller/leader_dependencies.py
+++ b/spindleglade/controller/leader_dependencies.py
@@ -1,4 +1,4 @@
-"""What a controller hands to the leader that it creates for a term."""
+"""The services that a controller passes to the leader of a term."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -14,18 +14,18 @@
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
 
-# Runs a function with its arguments outside the event loop and returns its result.
+# Runs a function with the given arguments outside the event loop, and returns the function's result.
 Compute = Callable[..., Awaitable[Any]]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaderDependencies:
-    """The parts of the controller that outlive a term and that its leader uses."""
+    """The parts of the controller that the leader uses and that exist longer than a term."""
 
     platform: Platform
     settings: OperatorSettings
     clock: Clock
-    # Runs the planning in its own thread.
+    # Runs the planning in the planning thread.
     compute: Compute
     # Sends requests to the machines.
     machine_requester: ConcurrencyLimiter
@@ -34,7 +34,7 @@
     machine_types: MachineTypeCatalog
     replica: Replica
     views: JobViews
-    # Permits starts and lease renewals while the leader knows of all cancellations.
+    # Permits starts and lease renewals only if the leader recently knew all cancellations.
     cancellation_freshness: CancellationFreshness
-    # Whether the controller may currently take itself for the leader.
+    # Returns whether there is recent proof that no later term has begun.
     is_leadership_proven: Callable[[], bool]
--- a/spindleglade/controller/lease_renewal_report.py
+++ b/spindleglade/controller/lease_renewal_report.py
@@ -1,4 +1,4 @@
-"""Reports to the leader, through the store, which workers' leases this controller has renewed without it."""
+"""Reports to the leader, by a record in the store, the leases that this controller renewed without it."""
 
 import logging
 from datetime import timedelta
@@ -15,15 +15,17 @@
 log = logging.getLogger("spindleglade")
 
 REPORT_INTERVAL = seconds(1.5)
-# Renewals up to this age are reported.
+# The largest age of a renewal that is reported.
 MAX_RENEWAL_AGE = REPORT_INTERVAL * 2
-# What JSON adds to each name in a list: two quotes and a comma.
+# The bytes that JSON adds to each name in a list: two quotes and a comma.
 JSON_BYTES_PER_NAME = 3
 
 
 class LeaseRenewalReporter:
     """Writes the names of the machines whose leases this controller renews while it cannot reach the leader.
-    The leader would otherwise terminate machines that are only behind a network partition."""
+
+    Without this report the leader would terminate machines that only a network partition separates from it.
+    """
 
     def __init__(
         self, controller: str, clock: Clock, client: StateClient, replica: Replica, workers: WorkerApi
@@ -35,7 +37,7 @@
         self._workers = workers
 
     def start(self) -> None:
-        """Begins to report."""
+        """Starts the periodic reports."""
         run_forever(self._clock, self._run, "lease renewal report")
 
     async def _run(self) -> None:
@@ -46,22 +48,22 @@
                 await self._write(machines)
 
     def _recently_renewed(self, now: timedelta) -> list[str]:
-        """The machines to report, sorted. Older renewals are forgotten if there is none to report."""
-        renewed = self._workers.renewed_without_leader
-        machines = sorted(machine for machine, at in renewed.items() if now - at <= MAX_RENEWAL_AGE)
+        """Returns the machines to report, sorted; forgets all renewals if there is none to report."""
+        renewed_at = self._workers.renewed_without_leader
+        machines = sorted(machine for machine, at in renewed_at.items() if now - at <= MAX_RENEWAL_AGE)
         if not machines:
-            renewed.clear()
+            renewed_at.clear()
         return machines
 
     async def _write(self, machines: list[str]) -> None:
-        """Writes the names under as many keys as the limit on values requires."""
+        """Writes the machine names, split over as many keys as the store's limit on value sizes requires."""
         longest_name = max(map(len, machines))
         names_per_key = max(1, self._client.limits.value_bytes // (longest_name + JSON_BYTES_PER_NAME))
-        for first in range(0, len(machines), names_per_key):
-            key = f"{LEASE_RENEWALS}{self._controller}/{first // names_per_key}"
-            # Conditional: a copy of this request that is applied late must not report the renewals again.
+        for batch_start in range(0, len(machines), names_per_key):
+            key = f"{LEASE_RENEWALS}{self._controller}/{batch_start // names_per_key}"
+            # The condition keeps a late copy of this request from reporting the same renewals again.
             conditions = [Condition(key, self._replica.mod_revisions.get(key, 0))]
-            names = encode_value(machines[first : first + names_per_key])
+            names = encode_value(machines[batch_start : batch_start + names_per_key])
             try:
                 await self._client.compare_and_swap(conditions, [Put(key, names)], urgent=True)
             except (NotAppliedError, OutcomeUnknownError) as error:
--- a/spindleglade/controller/peer_heartbeats.py
+++ b/spindleglade/controller/peer_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between controllers: what this one says of itself, and what it learns from its peers."""
+"""The heartbeats between controllers: creates this controller's own and applies those of its peers."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -19,7 +19,7 @@
 
 
 class PeerHeartbeats:
-    """Makes the heartbeats to the peers and applies those that they send."""
+    """Creates the heartbeats of this controller and applies those of its peers."""
 
     def __init__(
         self,
@@ -38,9 +38,9 @@
         self._views = views
         self._balancer = balancer
         self._is_leader = is_leader
-        # Distinguishes this process from the controller's earlier ones.
+        # Distinguishes this process from earlier processes of the same controller.
         self._process_id = uuid4().hex
-        # The cancellations that the peers state in their heartbeats.
+        # The cancellations that the peers report in their heartbeats.
         self.cancellations = PeerCancellationLog(
             clock,
             [peer.name for peer in platform.peers],
@@ -49,8 +49,11 @@
         )
 
     def make_heartbeat(self, peer_revision: int | None) -> PeerHeartbeat:
-        """A heartbeat of this controller. With the revision of a peer that has sent one, it is the response
-        to it and states the cancellations since that revision."""
+        """Creates a heartbeat of this controller.
+
+        An acknowledgement reports the cancellations since `peer_revision`, the revision in the peer's
+        heartbeat. `peer_revision` is None for any other heartbeat.
+        """
         current_as_of = self._replica.current_as_of
         age_ms = None
         if current_as_of is not None:
@@ -67,14 +70,19 @@
         )
 
     def on_heartbeat(self, heartbeat: PeerHeartbeat, requested_at: timedelta | None) -> None:
-        """Applies the heartbeat of a peer; `requested_at` is None unless it is a response."""
+        """Applies the heartbeat of a peer.
+
+        `requested_at` is when the heartbeat that `heartbeat` acknowledges was sent; None if `heartbeat` is
+        not an acknowledgement.
+        """
         self._election.observe_token(heartbeat.token)
         self.cancellations.on_heartbeat(
             heartbeat.controller, heartbeat.process, heartbeat.cancellations, requested_at
         )
 
     def _on_cancellation(self, job: str, mod_revision: int) -> None:
-        """A peer has confirmed to a user, or may yet, that this job is cancelled."""
+        """Marks a job as cancelled in the replica, because a peer reports its cancellation and may have
+        confirmed it to the user."""
         view = self._views.jobs.get(job)
         if view is not None and view.record.state == JobState.OPEN:
             cancelled = msgspec.structs.replace(view.record, state=JobState.CANCELLED)
--- a/spindleglade/controller/peer_requests.py
+++ b/spindleglade/controller/peer_requests.py
@@ -1,5 +1,8 @@
-"""Requests between controllers: workers' heartbeats relayed to the leader, and users' requests forwarded to a
-controller that reaches the store."""
+"""Requests between controllers.
+
+Workers' heartbeats are relayed to the leader, and users' requests are forwarded to a controller that reaches
+the store.
+"""
 
 import logging
 from collections.abc import Callable
@@ -18,19 +21,22 @@
 
 log = logging.getLogger("spindleglade")
 
-# How long a peer may take to respond to a forwarded request of a user.
+# The timeout of a user's request that is forwarded to a peer.
 FORWARD_TIMEOUT = seconds(1)
 
 
 class PeerRequestSender:
-    """Sends requests to the peers."""
+    """Sends heartbeats and users' requests to the peers."""
 
     def __init__(self, connectivity: PeerConnectivity, relay_timeout: timedelta) -> None:
         self._connectivity = connectivity
         self._relay_timeout = relay_timeout
 
     async def relay_heartbeats(self, heartbeats: list[bytes]) -> list[bytes] | None:
-        """The leader's responses to workers' heartbeats, in their order; None if no leader is reached."""
+        """Relays workers' heartbeats to the leader and returns the responses in the same order.
+
+        Returns None if the leader is not reached or the peer does not lead.
+        """
         connection = self._connectivity.leader_connection()
         if connection is None:
             return None
@@ -44,9 +50,11 @@
         return responses
 
     async def forward_request(self, method: str, path: str, body: bytes) -> HttpResponse | None:
-        """The response of a serving peer to a user's request; None if no such peer is reached. The peer last
-        heard from is tried first: one that has just failed still counts as up, and would cost each request
-        the whole timeout."""
+        """Forwards a user's request to a serving peer and returns the response; None if no peer responds.
+
+        The peer with the latest message is tried first. A peer that has just failed still counts as up, and
+        trying it first would delay each request by the whole timeout.
+        """
         for connection in sorted(
             self._connectivity.serving_connections(),
             key=lambda connection: connection.last_message_at,
@@ -63,7 +71,7 @@
 
 
 class PeerRequestHandler:
-    """Serves the requests of the peers."""
+    """Handles the requests that the peers send."""
 
     def __init__(self, workers: WorkerApi, users: UserApi, is_leader: Callable[[], bool]) -> None:
         self._workers = workers
@@ -71,8 +79,10 @@
         self._is_leader = is_leader
 
     def on_relayed_heartbeats(self, heartbeats: list[bytes]) -> list[bytes] | None:
-        """The responses for the workers, empty where a lease must not be renewed; None if this controller
-        does not lead."""
+        """Returns the leader's responses to relayed heartbeats; None if this controller does not lead.
+
+        A response is empty if the worker's lease must not be renewed or the heartbeat cannot be decoded.
+        """
         responses = []
         for heartbeat in heartbeats:
             if not self._is_leader():
@@ -85,5 +95,5 @@
         return responses
 
     async def on_forwarded_request(self, method: str, path: str, body: bytes) -> HttpResponse:
-        """The response to a user's request that a peer could not serve; it is not forwarded again."""
+        """Serves a user's request that a peer has forwarded; it is not forwarded again."""
         return await self._users.handle(method, path, body, may_forward=False)
--- a/spindleglade/controller/pipelines.py
+++ b/spindleglade/controller/pipelines.py
@@ -1,5 +1,8 @@
-"""Applies the dependency graph to the leader's cluster state: which jobs are released or cancelled through
-another one, and the priority and the latest start that a job inherits from its dependents."""
+"""Applies the dependency graph to the leader's cluster state.
+
+The graph decides which jobs are released, which are cancelled because a dependency is cancelled, and which
+priority and latest start a job inherits from its dependents.
+"""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -12,17 +15,19 @@
 from spindleglade.workers.cluster_state import ClusterState
 from spindleglade.workers.jobs import ChainMember
 
-# How long changes of pipelines are collected before the jobs' urgencies are computed again.
-MIN_URGENCY_DELAY = seconds(0.2)
-# Share of the event loop's time that computing urgencies may take.
-MAX_URGENCY_SHARE = 0.05
-# A job should start so many expected run times before its deadline.
-EXPECTED_RUNS_AHEAD = 2
+# The shortest time for which changes in the graph are collected before the urgencies are computed again.
+MIN_URGENCY_UPDATE_DELAY = seconds(0.2)
+# The largest share of the event loop's time that computing urgencies may take.
+MAX_URGENCY_UPDATE_SHARE = 0.05
+# How long before its inherited deadline a job should start, in expected run times of the job.
+EXPECTED_RUN_TIMES_BEFORE_DEADLINE = 2
 
 
 class PipelineUpdater:
-    """Keeps a cluster state up to date with the dependency graph of the controller's job views. All methods
-    are called from the event loop."""
+    """Keeps a cluster state up to date with the dependency graph of the controller's job views.
+
+    All methods are called from the event loop.
+    """
 
     def __init__(
         self,
@@ -32,39 +37,40 @@
         clock: Clock,
         on_changed: Callable[[], None],
     ) -> None:
-        """`on_changed` is called after a job was released or cancelled, or has got its first dependents."""
+        """`on_changed` is called after `on_job_changed` has applied a change in the graph."""
         self._cluster = cluster
         self._views = views
         self._predictor = predictor
         self._clock = clock
         self._on_changed = on_changed
         self._stopped = False
-        # The timer of the next computation of urgencies, if one is due.
-        self._timer: Any = None
-        self._urgency_delay = MIN_URGENCY_DELAY
+        # The timer of the next computation of urgencies; None if none is due.
+        self._urgency_update_timer: Any = None
+        self._urgency_update_delay = MIN_URGENCY_UPDATE_DELAY
 
     def stop(self) -> None:
-        """Nothing more is applied."""
+        """Stops the updater; later changes in the graph are ignored."""
         self._stopped = True
 
     def update_all(self) -> None:
-        """Applies the state of every job of the cluster state in the graph."""
+        """Applies the graph to every job of the cluster state, and computes the urgencies."""
         for job in list(self._cluster.jobs):
             self.update(job)
         self.update_urgency()
 
     def on_job_changed(self, job: str) -> None:
-        """The job was released, cancelled through an ancestor, or has got its first dependents."""
+        """Applies a change in the graph: the job was released, was cancelled through an ancestor, or has its
+        first dependents."""
         if self._stopped:
             return
         self.update(job)
         self._on_changed()
-        if self._timer is None:
-            # Many jobs may change at once, and computing urgencies covers all unfinished ones.
-            self._timer = self._clock.later(self._urgency_delay, self.update_urgency)
+        if self._urgency_update_timer is None:
+            # Many jobs may change at once, and each computation of urgencies covers all unfinished jobs.
+            self._urgency_update_timer = self._clock.later(self._urgency_update_delay, self.update_urgency)
 
     def update(self, job: str) -> None:
-        """Applies the state of one job in the graph."""
+        """Applies the graph to one job: whether it has dependents, is cancelled or is released."""
         graph = self._views.graph
         if job not in self._cluster.jobs:
             return
@@ -72,18 +78,19 @@
         if graph.is_cancelled(job):
             self._cluster.cancel_through_dependency(job)
         elif not self._cluster.jobs[job].released and job in self._views.jobs and graph.is_released(job):
-            self._release(job)
+            self._release_job(job)
 
-    def _release(self, job: str) -> None:
-        """Releases the job as of the time at which its last dependency was done."""
+    def _release_job(self, job: str) -> None:
+        """Releases a job. Its age counts from the time at which its last dependency was done."""
         released_at = self._views.released_at(job)
-        # The time of day differs between controllers; an age must not become negative by that.
+        # The wall clocks of controllers differ, and the age must not become negative when this one is behind.
         age = ZERO if released_at is None else max(ZERO, self._clock.utc() - released_at)
         self._cluster.release_job(job, self._clock.now(), age)
 
     def update_urgency(self) -> None:
-        """Computes urgencies: priorities and deadlines propagate from the ends of pipelines to the starts."""
-        self._timer = None
+        """Computes the urgency of all unfinished jobs: each job inherits priorities and deadlines from its
+        direct and indirect dependents."""
+        self._urgency_update_timer = None
         if self._stopped:
             return
         started_at = self._clock.now()
@@ -92,9 +99,10 @@
         for name, urgency in urgencies(jobs).items():
             latest_start = _latest_start(jobs[name], urgency.deadline)
             self._cluster.set_urgency(name, urgency.rank, latest_start)
-        # With thousands of jobs in pipelines this takes long, and heartbeats and leases must not wait for it.
+        # With thousands of jobs in pipelines this takes long, and it blocks the event loop, which also serves
+        # heartbeats and renews leases.
         duration = self._clock.now() - started_at
-        self._urgency_delay = max(MIN_URGENCY_DELAY, duration / MAX_URGENCY_SHARE)
+        self._urgency_update_delay = max(MIN_URGENCY_UPDATE_DELAY, duration / MAX_URGENCY_UPDATE_SHARE)
 
     def _chained_job(self, name: str, member: ChainMember) -> ChainedJob:
         expected = self._predictor.expected(member.team, member.estimate)
@@ -102,7 +110,7 @@
 
 
 def _latest_start(job: ChainedJob, deadline: timedelta | None) -> timedelta | None:
-    """When a job with dependents should start; None if it has none, or there is no deadline."""
+    """When a job should start to meet its inherited deadline; None without dependents or a deadline."""
     if not job.dependents or deadline is None:
         return None
-    return deadline - job.expected * EXPECTED_RUNS_AHEAD
+    return deadline - job.expected * EXPECTED_RUN_TIMES_BEFORE_DEADLINE
--- a/spindleglade/controller/planning_loop.py
+++ b/spindleglade/controller/planning_loop.py
@@ -1,4 +1,4 @@
-"""Runs planning passes in one thread: snapshot under the lock, plan without it, apply what is still valid."""
+"""Runs planning passes: takes a snapshot under the lock, plans without it, applies what is still valid."""
 
 import logging
 import time
@@ -16,15 +16,17 @@
 log = logging.getLogger("spindleglade.backfill")
 
 
-# A pause is at least so many times as long as the pass before it, so that planning takes a fifth of the time
-# at most.
-PAUSE_PER_PASS = 4
+# The shortest pause after a pass, as a multiple of the duration of the pass. Planning thus takes at most a
+# fifth of the time.
+MIN_PAUSE_PER_PASS_DURATION = 4
 MILLISECONDS_PER_SECOND = 1000
 
 
 class PlanningLoop:
-    """Plans again and again while the cluster state changes. Except for the planning itself, which `compute`
-    runs in its own thread, all methods are called from the event loop."""
+    """Runs a planning pass whenever the cluster state has changed.
+
+    All methods are called from the event loop, except `_plan`, which `compute` runs in the planning thread.
+    """
 
     def __init__(
         self,
@@ -35,8 +37,11 @@
         min_interval: timedelta,
         on_planned: Callable[[Plan, int], None],
     ) -> None:
-        """`min_interval` is the least pause between two passes. `on_planned` is called with each plan after
-        it was applied, and with the number of its placements that were still valid."""
+        """Creates the loop without starting it.
+
+        `min_interval` is the shortest pause between two passes. `on_planned` is called after each plan is
+        applied, with the plan and the number of its placements that were still valid.
+        """
         self._cluster = cluster
         self._planner = planner
         self._clock = clock
@@ -46,58 +51,61 @@
         self._change_pending = True
         self._wakeup = Wakeup()
         self._stopped = False
-        self._loop = PeriodicTask(clock, "planning", self._plan_once, self._until_next)
-        # When the latest pass began.
+        self._loop = PeriodicTask(clock, "planning", self._run_pass, self._wait_until_next_pass)
+        # When the latest pass started.
         self._pass_started_at = ZERO
 
     def start(self) -> None:
-        """Begins the first pass."""
+        """Starts the first pass."""
         self._loop.start()
 
     def stop(self) -> None:
-        """No further plan is applied."""
+        """Stops the loop. A plan that is being computed is not applied."""
         self._stopped = True
         self._loop.stop()
         self.wake()
 
     @property
     def stall_reason(self) -> str | None:
-        """Why nothing is planned, if so."""
+        """Why planning has stalled; None if it has not."""
         return self._loop.stall_reason
 
     def wake(self) -> None:
-        """The cluster state has changed, so another pass is due."""
+        """Requests another pass, because the cluster state has changed."""
         self._change_pending = True
         self._wakeup.wake()
 
-    async def _until_next(self) -> None:
-        # A pass takes long with a long queue and on a slow or busy processor, where heartbeats and leases
-        # must not wait for it.
+    async def _wait_until_next_pass(self) -> None:
+        # With a long queue or on a slow or busy processor a pass takes long. Heartbeats and lease renewals
+        # need processor time between passes.
         pass_duration = self._clock.now() - self._pass_started_at
-        await sleep(self._clock, max(self._min_interval, pass_duration * PAUSE_PER_PASS))
+        await sleep(self._clock, max(self._min_interval, pass_duration * MIN_PAUSE_PER_PASS_DURATION))
         if not self._change_pending:
             await self._wakeup.wait()
 
-    async def _plan_once(self) -> None:
+    async def _run_pass(self) -> None:
         self._change_pending = False
         self._pass_started_at = started_at = self._clock.now()
         plan, cpu_s = await self._compute(self._plan, started_at)
         if self._stopped:
             return
-        placed = self._cluster.apply_plan(plan, self._clock.now())
+        placement_count = self._cluster.apply_plan(plan, self._clock.now())
         log.debug(
             "planned starts=%d preemptions=%d unplaced=%d reserved_job=%s delay_checks=%d cpu_ms=%.1f",
-            placed,
+            placement_count,
             len(plan.preemptions),
             len(plan.unplaced),
             plan.reserved_job,
             plan.delay_checks,
             cpu_s * MILLISECONDS_PER_SECOND,
         )
-        self._on_planned(plan, placed)
+        self._on_planned(plan, placement_count)
 
     def _plan(self, now: timedelta) -> tuple[Plan, float]:
-        """The plan, and the processor time in seconds that it took. Called from the planning thread."""
+        """Computes a plan; returns it and the processor time in seconds that it took.
+
+        Called from the planning thread.
+        """
         started_at_s = time.thread_time()
         snapshot = self._cluster.snapshot(now)
         return self._planner.plan(snapshot), time.thread_time() - started_at_s
--- a/spindleglade/controller/recovery.py
+++ b/spindleglade/controller/recovery.py
@@ -1,4 +1,4 @@
-"""Reads the stored records into the cluster state of a new leader."""
+"""Rebuilds the cluster state of a new leader from the stored records."""
 
 import logging
 from dataclasses import dataclass, field
@@ -32,12 +32,12 @@
 
 log = logging.getLogger("spindleglade.leadership")
 
-# Delay before the records are requested again after a failed attempt to read them.
+# The delay between a failed attempt to read the records and the next one.
 RECOVERY_RETRY_DELAY = seconds(0.3)
 
 
 def new_predictor(settings: BackfillSettings) -> Predictor:
-    """A run-time predictor without any history."""
+    """Creates a run-time predictor without any history."""
     return Predictor(
         Bins(seconds(settings.first_bin_s), settings.bin_factor),
         settings.history_runs,
@@ -49,7 +49,7 @@
 def new_cluster_state(
     token: int, dependencies: LeaderDependencies, predictor: Predictor, now: timedelta
 ) -> ClusterState:
-    """A cluster state without jobs and machines, for the term with this token."""
+    """Creates a cluster state without jobs and machines for the term with this fencing token."""
     workers = dependencies.platform.params.workers
     settings = dependencies.settings
     policy = WorkerPolicy(
@@ -74,68 +74,73 @@
 class _DecodedRecords:
     """The records of a listing, decoded but not yet applied."""
 
-    # Job records with their mod revisions.
+    # Each job record and its mod revision.
     jobs: list[tuple[JobRecord, int]] = field(default_factory=list)
-    # Job, number of the range, record.
+    # The job, the number of the task range, and the record of each task range.
     ranges: list[tuple[str, int, TaskRangeRecord]] = field(default_factory=list)
-    # Job, first task of the overflow range, record.
+    # The job, the first task, and the record of each overflow range.
     overflow_ranges: list[tuple[str, int, TaskRangeRecord]] = field(default_factory=list)
 
 
 class RecordLoader:
     """Applies stored records to a cluster state and a predictor.
 
-    A record that cannot be decoded must not keep every controller from leading. Its job is ignored: it is
-    neither placed, since its tasks may be on machines, nor are its stored task ranges removed.
+    A record that cannot be decoded does not fail the recovery, since no controller could lead then. The job
+    of such a record is ignored: its tasks are not placed, because they may be running on machines already,
+    and its stored task ranges are kept.
     """
 
     def __init__(self, cluster: ClusterState, predictor: Predictor, replica: Replica, clock: Clock) -> None:
         self.cluster = cluster
-        # Mod revisions of the stored task ranges and overflow ranges of readable jobs, by key.
+        # Mod revisions of the stored task ranges and overflow ranges by key, except those of ignored jobs.
         self.range_mod_revisions: dict[str, int] = {}
-        # Mod revisions of the teams' stored histories, by key.
+        # Mod revisions of the teams' stored run-time histories, by key.
         self.history_mod_revisions: dict[str, int] = {}
-        # Entries of the listing that was loaded.
+        # The number of entries in the loaded listing.
         self.entry_count = 0
         self._predictor = predictor
         self._replica = replica
         self._clock = clock
-        self._unreadable_jobs: set[str] = set()
+        # The IDs of the ignored jobs: those with a record that cannot be decoded.
+        self._undecodable_jobs: set[str] = set()
 
     def load(self, entries: list[Entry], now: timedelta) -> None:
         """Applies all entries of a listing."""
         self.entry_count = len(entries)
         for entry in entries:
             if entry.key.startswith((JOBS, DEPENDENCIES)):
-                # The listing may be ahead of the watch, and the dependency graph follows the replica.
+                # The dependency graph is built from the replica, which may be older than the listing.
                 self._replica.observe(entry.key, bytes(entry.value), entry.mod_revision)
         decoded = _DecodedRecords()
         for entry in entries:
             try:
-                self._decode(entry, decoded)
+                self._decode_entry(entry, decoded)
             except (msgspec.DecodeError, ValueError) as error:
-                self._on_undecodable(entry, error)
+                self._on_undecodable_entry(entry, error)
         for record, mod_revision in decoded.jobs:
             self.observe_job(record, mod_revision)
         self._load_ranges(decoded, now)
 
     def observe_job(self, record: JobRecord, mod_revision: int) -> None:
-        """Applies a job record, unless some record of this job could not be decoded."""
-        if record.spec.id in self._unreadable_jobs:
+        """Applies a job record unless one of the job's records could not be decoded."""
+        if record.spec.id in self._undecodable_jobs:
             return
-        # The time of day differs between controllers; a job's age must not become negative by that.
+        # The wall clocks of controllers differ, and the age must not become negative when this one is behind.
         age = ZERO
         if record.accepted_at is not None:
             age = max(age, self._clock.utc() - record.accepted_at)
         self.cluster.observe_job(record, mod_revision, self._clock.now(), age)
 
-    def _decode(self, entry: Entry, decoded: _DecodedRecords) -> None:
-        """Raises msgspec.DecodeError or ValueError if the entry's key or value is malformed."""
+    def _decode_entry(self, entry: Entry, decoded: _DecodedRecords) -> None:
+        """Decodes one entry: a job record or task range goes into `decoded`, a history to the predictor.
+
+        Raises msgspec.DecodeError or ValueError if the entry's key or value is malformed.
+        """
         if entry.key.startswith(JOBS):
             decoded.jobs.append((msgspec.json.decode(entry.value, type=JobRecord), entry.mod_revision))
         elif entry.key.startswith(TASK_RANGES):
-            job, number = split_range_key(entry.key)
-            decoded.ranges.append((job, number, msgspec.json.decode(entry.value, type=TaskRangeRecord)))
+            job, range_number = split_range_key(entry.key)
+            decoded.ranges.append((job, range_number, msgspec.json.decode(entry.value, type=TaskRangeRecord)))
             self.range_mod_revisions[entry.key] = entry.mod_revision
         elif entry.key.startswith(OVERFLOW_RANGES):
             job, first_task = split_overflow_range_key(entry.key)
@@ -147,32 +152,32 @@
             team = entry.key[len(HISTORY) :]
             self._predictor.load(team, msgspec.json.decode(entry.value, type=History))
 
-    def _on_undecodable(self, entry: Entry, error: Exception) -> None:
+    def _on_undecodable_entry(self, entry: Entry, error: Exception) -> None:
         log.error("record not decoded key=%s reason=%s", entry.key, error)
         if not entry.key.startswith(HISTORY):
-            self._unreadable_jobs.add(entry.key.split("/")[2])
+            self._undecodable_jobs.add(entry.key.split("/")[2])
 
     def _load_ranges(self, decoded: _DecodedRecords, now: timedelta) -> None:
-        # An overflow range limits the tasks for which the other ranges are valid, so all overflow ranges are
-        # declared before any range is loaded.
+        # A task range is not valid for the tasks of an overflow range, so all overflow ranges are declared
+        # before any record is loaded.
         for job, first_task, _ in decoded.overflow_ranges:
-            if job not in self._unreadable_jobs:
+            if job not in self._undecodable_jobs:
                 self.cluster.add_overflow_range(job, first_task)
-        for job, number, record in decoded.ranges:
-            if job in self._unreadable_jobs:
-                self.range_mod_revisions.pop(range_key(job, number), None)
+        for job, range_number, record in decoded.ranges:
+            if job in self._undecodable_jobs:
+                self.range_mod_revisions.pop(range_key(job, range_number), None)
             else:
-                self.cluster.load_range(job, number, record, now)
+                self.cluster.load_range(job, range_number, record, now)
         for job, first_task, record in decoded.overflow_ranges:
-            if job in self._unreadable_jobs:
+            if job in self._undecodable_jobs:
                 self.range_mod_revisions.pop(overflow_range_key(job, first_task), None)
             else:
                 self.cluster.load_overflow_range(job, first_task, record, now)
 
 
 class Recovery:
-    """The recovery of one term: lists the stored records, and applies them together with the job changes
-    that arrive meanwhile."""
+    """Recovers the cluster state of one term: lists the stored records and applies them, followed by the job
+    changes that arrived in the meantime."""
 
     def __init__(self, token: int, dependencies: LeaderDependencies, predictor: Predictor) -> None:
         self._token = token
@@ -180,19 +185,19 @@
         self._predictor = predictor
         self._clock = dependencies.clock
         self._stopped = False
-        # Job records with their mod revisions that changed since the term began.
+        # Job records that changed during the recovery, each with its mod revision.
         self._pending_changes: list[tuple[JobRecord, int]] = []
 
     def stop(self) -> None:
-        """Ends the reading; `run` then returns None."""
+        """Stops the recovery; `run` then returns None."""
         self._stopped = True
 
     def on_job_changed(self, record: JobRecord, mod_revision: int) -> None:
-        """Keeps the change until the listing has been applied."""
+        """Keeps a changed job record until the listing has been applied."""
         self._pending_changes.append((record, mod_revision))
 
     async def run(self) -> RecordLoader | None:
-        """The loader, with all records and changes applied; None if the recovery was stopped first."""
+        """Recovers the cluster state and returns its loader; None if the recovery was stopped."""
         listing = await self._read_listing()
         if listing is None:
             return None
@@ -205,7 +210,7 @@
         return loader
 
     async def _read_listing(self) -> Listing | None:
-        """All that the store holds; None if the recovery was stopped first."""
+        """Lists all records, with retries until it succeeds; returns None if the recovery was stopped."""
         while not self._stopped:
             try:
                 listing = await self._dependencies.client.read_all(PREFIX)
--- a/spindleglade/controller/running_leader.py
+++ b/spindleglade/controller/running_leader.py
@@ -1,4 +1,4 @@
-"""The components that act on the cluster state while a controller leads."""
+"""Creates, connects, starts and stops the components that act on the cluster state during a term."""
 
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
@@ -24,14 +24,17 @@
 from spindleglade.workers.messages import Heartbeat, HeartbeatResponse
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
 
-# Between two passes of the upkeep, and between two writes of the teams' histories.
+# The time between two passes of the upkeep.
 UPKEEP_INTERVAL = seconds(1)
+# The time between two writes of the teams' run-time histories.
 HISTORY_INTERVAL = seconds(10)
 
 
 class RunningLeader:
-    """A leader whose recovery is complete. Creates its components, starts and stops them, and passes events
-    between them. All methods are called from the event loop."""
+    """The components of a leader whose recovery is complete, and the events between them.
+
+    All methods are called from the event loop.
+    """
 
     def __init__(
         self,
@@ -42,7 +45,9 @@
         on_deposed: Callable[[str], None],
     ) -> None:
         """Applies the dependency graph to the recovered jobs and creates the components; none is started.
-        `on_deposed` is called, with the reason, when something shows that another term has begun."""
+
+        `on_deposed` is called, with the reason, when a component learns that another term has begun.
+        """
         self.term = term
         self.cluster = loader.cluster
         self._loader = loader
@@ -52,7 +57,7 @@
         self._on_deposed = on_deposed
         self._stopped = False
         self.pipelines = PipelineUpdater(
-            self.cluster, dependencies.views, predictor, self._clock, self._on_changed
+            self.cluster, dependencies.views, predictor, self._clock, self._on_cluster_changed
         )
         self.pipelines.update_all()
         self.cluster.finish_loading()
@@ -64,7 +69,9 @@
         self._history_writer = HistoryWriter(
             self.cluster, predictor, dependencies.client, term, loader.history_mod_revisions, on_deposed
         )
-        self._history_task = self._periodic("histories", self._history_writer.write_changed, HISTORY_INTERVAL)
+        self._history_task = self._create_periodic_task(
+            "histories", self._history_writer.write_changed, HISTORY_INTERVAL
+        )
 
     def start(self) -> None:
         """Starts all components."""
@@ -75,7 +82,7 @@
         self._history_task.start()
 
     def stop(self) -> None:
-        """Stops all components; nothing more is written, sent or applied."""
+        """Stops all components. After that, nothing is written, sent or applied."""
         self._stopped = True
         self.pipelines.stop()
         self._planning_loop.stop()
@@ -88,8 +95,8 @@
 
     @property
     def stall_reason(self) -> str | None:
-        """Why the components get nothing done, if so: one of their loops fails again and again or a pass of
-        it does not end."""
+        """Why the leader has stalled: one of its loops fails repeatedly or has been in one pass for too long.
+        None if it has not stalled."""
         return (
             self._state_writer.stall_reason
             or self._planning_loop.stall_reason
@@ -97,30 +104,33 @@
         )
 
     def receives_no_heartbeats(self, silence_limit: timedelta) -> bool:
-        """Whether there are machines, and no heartbeat of any of them has arrived for that long."""
+        """Whether there are machines, and none of them has sent a heartbeat within `silence_limit`."""
         with self.cluster.lock:
-            machines = any(machine.address for machine in self.cluster.machines.values())
-        return machines and self._clock.now() - self.cluster.last_heartbeat_at > silence_limit
+            has_machines = any(machine.address for machine in self.cluster.machines.values())
+        return has_machines and self._clock.now() - self.cluster.last_heartbeat_at > silence_limit
 
     def on_job_changed(self, record: JobRecord, mod_revision: int) -> None:
         """Applies a job record that has changed in the store."""
         self._loader.observe_job(record, mod_revision)
         self.pipelines.update(record.spec.id)
-        self._on_changed()
+        self._on_cluster_changed()
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse | None:
-        """The response, or None if the worker's lease must not be renewed. What the heartbeat says is
-        applied in either case: a machine must not be given up as silent because it got no response."""
+        """Applies a worker's heartbeat and returns the response.
+
+        Returns None if the worker's lease must not be renewed. The heartbeat is applied nevertheless, because
+        a machine that gets no response would otherwise be terminated as silent.
+        """
         changes_before = self.cluster.change_count
-        permitted = self._cancellation_freshness.permits_renewals
+        may_renew = self._cancellation_freshness.permits_renewals
         try:
-            commands = self.cluster.on_heartbeat(heartbeat, self._clock.now(), renews_lease=permitted)
+            commands = self.cluster.on_heartbeat(heartbeat, self._clock.now(), renews_lease=may_renew)
         except StaleTokenError as error:
             self._on_deposed(str(error))
             return None
         if self.cluster.change_count != changes_before:
-            self._on_changed()
-        return None if commands is None or not permitted else HeartbeatResponse(self.term.token, commands)
+            self._on_cluster_changed()
+        return None if commands is None or not may_renew else HeartbeatResponse(self.term.token, commands)
 
     def _create_state_writer(self) -> StateWriter:
         return StateWriter(
@@ -138,7 +148,7 @@
             self._dependencies.machine_requester,
             self._clock,
             seconds(self._dependencies.settings.workers.command_timeout_s),
-            DispatcherEvents(self._on_deposed, self._on_changed),
+            DispatcherEvents(self._on_deposed, self._on_cluster_changed),
             self._cancellation_freshness,
         )
 
@@ -165,7 +175,7 @@
                 self._dispatcher.introduce_leader,
                 dependencies.machine_requester.max_concurrent // 2,
             ),
-            self._on_changed,
+            self._on_cluster_changed,
         )
 
     def _create_planning_loop(self) -> PlanningLoop:
@@ -186,30 +196,34 @@
             self.autoscaler,
             self._cancellation_freshness,
             self._clock,
-            self._on_changed,
+            self._on_cluster_changed,
+        )
+        return self._create_periodic_task("upkeep", upkeep.run_pass, UPKEEP_INTERVAL)
+
+    def _create_periodic_task(
+        self, name: str, run_pass: Callable[[], Awaitable[None]], interval: timedelta
+    ) -> PeriodicTask:
+        """Creates a periodic task that waits for `interval` before each pass, including the first."""
+        return PeriodicTask(
+            self._clock, name, run_pass, partial(sleep, self._clock, interval), waits_first=True
         )
-        return self._periodic("upkeep", upkeep.run_once, UPKEEP_INTERVAL)
-
-    def _periodic(self, name: str, run_once: Callable[[], Awaitable[None]], delay: timedelta) -> PeriodicTask:
-        """A task that waits for `delay` before each pass, the first one included."""
-        return PeriodicTask(self._clock, name, run_once, partial(sleep, self._clock, delay), waits_first=True)
 
-    def _on_changed(self) -> None:
-        """The cluster state has changed."""
+    def _on_cluster_changed(self) -> None:
+        """Wakes the components that act on a changed cluster state."""
         if not self._stopped:
             self._state_writer.wake()
             self._planning_loop.wake()
             self._dispatcher.dispatch()
 
     def _on_committed(self) -> None:
-        """Changes have been recorded, so commands that waited for that may be sent."""
+        """Sends the commands that had to wait until the changes behind them were recorded."""
         if not self._stopped:
             self._dispatcher.dispatch()
 
-    def _on_planned(self, plan: Plan, placed: int) -> None:
-        """A plan with this many new placements has been applied."""
+    def _on_planned(self, plan: Plan, placement_count: int) -> None:
+        """Passes on a plan that has been applied with `placement_count` new placements."""
         self.autoscaler.on_plan(plan)
-        if placed:
+        if placement_count:
             self._state_writer.wake()
         if plan.preemptions:
             self._dispatcher.dispatch()
--- a/spindleglade/controller/test_history_writer.py
+++ b/spindleglade/controller/test_history_writer.py
@@ -1,4 +1,4 @@
-"""The teams' histories of run times that a leader writes to the store."""
+"""Tests that a leader writes the teams' run-time histories to the store."""
 
 import msgspec
 from twisted.internet.defer import Deferred
@@ -16,14 +16,17 @@
 from tests.cluster_harness import TOKEN, make_cluster
 
 
-class Store:
-    """Keeps values and mod revisions. Transactions whose number is in `delayed` have an unknown outcome, and
-    are applied by `apply_delayed`; with `response_delay`, the responses to the others wait for it."""
+class FakeStore:
+    """A store with conditional transactions, numbered from 1.
 
-    def __init__(self, delayed=()):
+    The transactions with a number in `delayed_numbers` have an unknown outcome, and `apply_delayed` applies
+    them. The responses to all other transactions wait for `response_delay` unless it is None.
+    """
+
+    def __init__(self, delayed_numbers=()):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
         self.revision, self.keys = 10, {LEADER: (b"{}", 5)}
-        self.transactions, self.delayed_numbers = 0, set(delayed)
+        self.transactions, self.delayed_numbers = 0, set(delayed_numbers)
         self.delayed, self.response_delay = [], None
 
     def _apply(self, conditions, writes):
@@ -58,7 +61,7 @@
 
 
 def make_writer(store):
-    """A history writer, its cluster state, and the reasons for which it was deposed."""
+    """Returns a history writer, its cluster state, and the list to which reasons for deposing are added."""
     cluster, deposed = make_cluster(), []
     predictor = new_predictor(OperatorSettings().backfill)
     writer = HistoryWriter(cluster, predictor, store, Term(TOKEN, 5, 1), {}, deposed.append)
@@ -66,7 +69,7 @@
 
 
 def write_runs(writer, runs):
-    """Adds as many runs to the history of a team and lets the writer write it."""
+    """Adds `runs` runs to the history of one team and starts a write of the history."""
     for _ in range(runs):
         writer._predictor.add("t", seconds(9))
     writer._cluster.teams_with_new_runs = {"t"}
@@ -78,8 +81,9 @@
 
 
 def test_a_late_history_does_not_undo_a_newer_one():
-    """A condition on the leader key alone would not prevent it: the key stays the same for all of a term."""
-    store = Store(delayed=[1])
+    """A write with an unknown outcome may be applied after a newer write of the same term. A condition on the
+    leader key alone would not prevent it, because the key does not change during a term."""
+    store = FakeStore(delayed_numbers=[1])
     writer, cluster, deposed = make_writer(store)
     write_runs(writer, 1)
     assert cluster.teams_with_new_runs == {"t"}
@@ -90,24 +94,24 @@
 
 
 def test_a_delayed_history_that_was_applied_first_is_overwritten():
-    store = Store(delayed=[1])
+    store = FakeStore(delayed_numbers=[1])
     writer, cluster, deposed = make_writer(store)
     write_runs(writer, 1)
     store.apply_delayed()
     write_runs(writer, 1)
-    # The condition failed: the mod revision was read, and the history is written the next time.
+    # The condition failed and the current mod revision was read, so the next write succeeds.
     assert stored_runs(store) == 1 and cluster.teams_with_new_runs == {"t"}
     write_runs(writer, 1)
     assert stored_runs(store) == 3 and not deposed
 
 
 def test_a_refused_history_deposes_its_own_term_only():
-    store = Store()
+    store = FakeStore()
     store.keys[LEADER] = (b"{}", 6)
     writer, cluster, deposed = make_writer(store)
     write_runs(writer, 1)
     assert len(deposed) == 1 and HISTORY + "t" not in store.keys
-    # A response after the end of the term must not affect the next one, which may be this controller's.
+    # A response that arrives after the term must not end the next term, which may be this controller's too.
     store.response_delay = Deferred()
     write_runs(writer, 1)
     writer.stop()
--- a/spindleglade/controller/test_recovery.py
+++ b/spindleglade/controller/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a leader recovers from the stored records."""
+"""Tests of the recovery of a leader's cluster state from stored records."""
 
 from datetime import timedelta
 
@@ -18,20 +18,20 @@
 
 
 class FakeReplica:
-    """Ignores what the leader reads ahead of the watch."""
+    """A replica that ignores the entries of a listing."""
 
     def observe(self, key, value, mod_revision):
         pass
 
 
 def make_loader(cluster, replica=None, clock=None):
-    """A loader of records into this cluster state."""
+    """Creates a loader of records into `cluster`."""
     predictor = new_predictor(OperatorSettings().backfill)
     return RecordLoader(cluster, predictor, replica or FakeReplica(), clock or ManualClock())
 
 
 def test_an_undecodable_record_stops_no_recovery_and_its_job_is_ignored():
-    """One such record must not keep every controller from leading."""
+    """If a record that cannot be decoded failed the recovery, no controller could lead."""
     loader = make_loader(make_cluster())
     opened = {id: encode_value(JobRecord("open", spec(id), 256)) for id in ("job-1", "job-2", "job-3")}
     placed = encode_value(TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)}))
@@ -49,6 +49,6 @@
     loader.load(entries, timedelta(0))
     assert set(loader.cluster.jobs) == {"job-1"} and loader.range_mod_revisions == {range_key("job-1", 0): 6}
     assert [job for job, _ in loader.cluster.pending_writes] == []
-    # Nor is the job observed when the replica shows its record later.
+    # The job's record is also ignored when the replica delivers it later.
     loader.observe_job(JobRecord("open", spec("job-3"), 256), 5)
     assert set(loader.cluster.jobs) == {"job-1"}
--- a/spindleglade/controller/upkeep.py
+++ b/spindleglade/controller/upkeep.py
@@ -1,4 +1,4 @@
-"""What a leader checks every second even if nothing happens, and the log lines on why work does not start."""
+"""Periodic work of a leader that no event triggers, and the log lines that tell why no task starts."""
 
 import logging
 from collections.abc import Callable
@@ -12,12 +12,12 @@
 
 log = logging.getLogger("spindleglade.leadership")
 
-# How often the log says why nothing starts.
+# The time without a start after which the log says why no task starts, and between two such log lines.
 STALL_LOG_INTERVAL = seconds(5)
 
 
 class Upkeep:
-    """Carries machine types and the autoscaler's preference over to the cluster state."""
+    """Copies the machine types and the preference for on-demand machines to the cluster state."""
 
     def __init__(
         self,
@@ -35,12 +35,12 @@
         self._cancellation_freshness = cancellation_freshness
         self._clock = clock
         self._on_changed = on_changed
-        self._stall_log = LogThrottle(clock, STALL_LOG_INTERVAL)
+        self._stall_log_throttle = LogThrottle(clock, STALL_LOG_INTERVAL)
         # Whether starts and lease renewals were permitted in the previous pass.
         self._renewals_were_permitted = True
 
-    async def run_once(self) -> None:
-        """One pass."""
+    async def run_pass(self) -> None:
+        """Runs one pass."""
         self._log_stall()
         self._log_renewal_permission()
         self._cluster.set_machine_types(self._machine_types.capacities())
@@ -48,17 +48,17 @@
         self._on_changed()
 
     def _log_stall(self) -> None:
-        """Logs why nothing starts, while work waits and nothing has started for a while."""
+        """Logs why no task starts if tasks wait and none has started within STALL_LOG_INTERVAL."""
         now = self._clock.now()
-        if now - self._cluster.latest_start < STALL_LOG_INTERVAL or not self._stall_log.allows():
+        if now - self._cluster.latest_start < STALL_LOG_INTERVAL or not self._stall_log_throttle.allows():
             return
-        stall = self._cluster.scheduling_stall(now)
-        if stall is not None:
+        scheduling_stall = self._cluster.scheduling_stall(now)
+        if scheduling_stall is not None:
             idle_s = (now - self._cluster.latest_start).total_seconds()
-            log.info("nothing started for_s=%.0f %s %s", idle_s, stall, self._autoscaler.summary)
+            log.info("nothing started for_s=%.0f %s %s", idle_s, scheduling_stall, self._autoscaler.summary)
 
     def _log_renewal_permission(self) -> None:
-        """Logs when starts and lease renewals begin and cease to be withheld."""
+        """Logs each change of whether starts and lease renewals are permitted."""
         are_permitted = self._cancellation_freshness.permits_renewals
         if are_permitted == self._renewals_were_permitted:
             return
--- a/spindleglade/controller/wiring.py
+++ b/spindleglade/controller/wiring.py
@@ -1,4 +1,4 @@
-"""Puts a controller on the network: its sockets, HTTP clients, planning thread and listening ports."""
+"""Creates a controller with its HTTP clients, planning thread and listening ports."""
 
 import logging
 from functools import partial
@@ -22,21 +22,23 @@
 
 log = logging.getLogger("spindleglade")
 
-# Connections to the store and to the cloud, each, and to each machine.
-SERVICE_CONNECTIONS = 8
-MACHINE_CONNECTIONS = 1
-# How often idle connections are closed.
+# The number of persistent connections to the store and to the cloud, each.
+CONNECTIONS_PER_SERVICE = 8
+# The number of persistent connections to each machine.
+CONNECTIONS_PER_MACHINE = 1
+# The time between two searches for idle connections to close.
 IDLE_CONNECTION_CHECK_INTERVAL = seconds(2.0)
 
 
 def run_controller(platform: Platform, settings: OperatorSettings, reactor: Any) -> None:
-    """Creates a controller that serves once the reactor runs."""
+    """Creates a controller that starts to serve when the reactor runs."""
     clock = ReactorClock(reactor)
     planning_thread = ThreadPool(1, 1, "planning")
     sockets = ConnectionBudget(platform.params.machine_limits.sockets)
 
     def connect(*handlers: Any) -> PeerNetwork:
-        # Takes the fields of PeerHandlers one by one, as every version's controller passes them.
+        # The arguments are the fields of PeerHandlers, in the order in which all versions' controllers pass
+        # them.
         return PeerNetwork(
             reactor, clock, platform.peers, seconds(settings.leadership.ping_s), PeerHandlers(*handlers)
         )
@@ -45,12 +47,13 @@
         platform,
         settings,
         clock,
-        HttpClient(reactor, connections_per_host=SERVICE_CONNECTIONS),
-        ConcurrencyLimiter(HttpClient(reactor, MACHINE_CONNECTIONS, sockets), clock, sockets),
+        HttpClient(reactor, connections_per_host=CONNECTIONS_PER_SERVICE),
+        ConcurrencyLimiter(HttpClient(reactor, CONNECTIONS_PER_MACHINE, sockets), clock, sockets),
         connect,
         partial(deferToThreadPool, reactor, planning_thread),
     )
-    # A worker that has sent no heartbeat for its lease is in another incarnation, or served by a peer.
+    # A worker whose connection is idle for longer than its lease runs as another incarnation, or sends its
+    # heartbeats to a peer.
     workers = platform.params.workers
     server = http_server(controller.handle, sockets, clock, workers.lease + workers.heartbeat_interval)
 
@@ -68,8 +71,11 @@
 
 
 def _listen(reactor: Any, address: str, factory: Any, backlog: int) -> None:
-    """Listens at the address, `host:port`; a failure ends the process. The backlog covers that all workers
-    connect within a second after a restart."""
+    """Listens at `address`, which is `host:port`. A failure stops the reactor and thereby the process.
+
+    `backlog` is the number of connections that may wait to be accepted. It must suffice for all workers,
+    which connect within a second after a restart.
+    """
 
     def on_failed(failure: Any) -> None:
         log.error("cannot listen address=%s reason=%s", address, failure.getErrorMessage())
@@ -80,7 +86,7 @@
 
 
 async def _close_idle_connections(clock: Clock, server: Any, sockets: ConnectionBudget) -> None:
-    """Closes idle connections regularly, for ever."""
+    """Closes idle connections periodically."""
     while True:
         await sleep(clock, IDLE_CONNECTION_CHECK_INTERVAL)
         closed = server.close_idle()
