--- a/spindleglade/backfill/__init__.py
+++ b/spindleglade/backfill/__init__.py
@@ -1,1 +1,1 @@
-"""What runs next: the queue, run-time distributions, the reservation and preemption. Pure logic."""
+"""Planning: queue order, run-time distributions, reservation, backfilling and preemption. Pure logic."""
--- a/spindleglade/backfill/arrays.py
+++ b/spindleglade/backfill/arrays.py
@@ -1,8 +1,8 @@
-"""The kinds of array that planning works on."""
+"""Array types used in planning."""
 
 import numpy as np
 from numpy.typing import NDArray
 
 Array = NDArray[np.float64]
 Mask = NDArray[np.bool_]
-Counts = NDArray[np.int64]
+IntArray = NDArray[np.int64]
--- a/spindleglade/backfill/placement.py
+++ b/spindleglade/backfill/placement.py
@@ -1,4 +1,4 @@
-"""Placement: which waiting tasks start on which machines, in the order of the queue."""
+"""Placement: which waiting tasks start on which machines, in queue order."""
 
 import math
 from dataclasses import replace
@@ -8,28 +8,28 @@
 from spindleglade.backfill.reservation import Reservation, reserve_capacity
 from spindleglade.backfill.snapshot import JobView, Key, RunningTask, is_best_effort, unclaimed_guarantee_cpus
 
-# Of an overdue job's tasks, one of so many goes before all other jobs.
+# One in this many waiting tasks of an overdue job is placed ahead of all other jobs.
 _TASKS_PER_OVERDUE_START = 8
 
 
 class JobPlacer:
-    """Places the jobs of a snapshot, past the reservation where it allows that."""
+    """Places the jobs of a snapshot, and backfills past the reserved job where the reservation allows it."""
 
     def __init__(self, state: PlanningState, reservation: Reservation) -> None:
         self._state = state
         self._reservation = reservation
-        # Keys of jobs that fit no machine now.
-        self._unplaceable: set[Key] = set()
+        # Placement keys of jobs that fit on no machine now.
+        self._unplaceable_keys: set[Key] = set()
 
     def place_all(self) -> None:
-        """Places overdue jobs, then all by priority, urgency and order of submission."""
+        """Places overdue jobs first, then all jobs by priority, urgency and submission order."""
         jobs = self._state.jobs
         for job in jobs:
             if job.is_overdue and job.waiting_tasks:
                 self._place_overdue(job)
-        # A higher priority goes first because it could preempt what a lower one started in the same pass,
-        # and starting only to stop loses work. Within a priority, a job with dependents goes first once their
-        # deadline leaves it no time to wait.
+        # Higher priorities are placed first: they could preempt tasks of lower priority started in the same
+        # pass, and a task that starts only to be stopped loses its work. Within a priority, a job is placed
+        # first once the deadline of its dependents leaves it no time to wait.
         for job in sorted(jobs, key=lambda job: (-job.rank, not job.is_urgent)):
             if job.waiting_tasks:
                 self._place_job(job)
@@ -37,9 +37,9 @@
     def _place_overdue(self, job: JobView) -> None:
         """Places some tasks of an overdue job ahead of all priorities.
 
-        Without that, an endless stream of small tasks of high priority would starve large ones. Where all
-        jobs are late, all of the tasks would leave no priority; the job is no longer overdue once one has
-        started.
+        Without this, an endless stream of small tasks of high priority would starve large ones. Only some of
+        the tasks are placed first: if all jobs were overdue, placing all of their tasks first would leave
+        priorities without effect. The job is no longer overdue once one of its tasks has started.
         """
         count = len(job.waiting_tasks)
         if not job.is_gang:
@@ -52,19 +52,22 @@
         quota = state.quota_left(job)
         if job.is_overdue and not quota:
             self._reserve_quota(job)
-        wanted = min(len(job.waiting_tasks), quota)
-        # Delayed only by its team's limit: it gets no reservation, and others need not wait for it.
-        if not wanted or (job.is_gang and wanted < len(job.waiting_tasks)):
+        max_tasks = min(len(job.waiting_tasks), quota)
+        # A job delayed only by its team's limit gets no reservation, so other jobs need not wait for it.
+        if not max_tasks or (job.is_gang and max_tasks < len(job.waiting_tasks)):
             return
-        unplaced = wanted - self._place_up_to(job, wanted)
-        # For a job that failed repeatedly, capacity is neither reserved nor provisioned to see it fail once
-        # more, unless it is overdue or fits no machine there is.
+        unplaced = max_tasks - self._place_tasks(job, max_tasks)
+        # For the probe of a job that failed repeatedly, capacity is neither reserved nor provisioned only for
+        # it to fail again, unless the job is overdue or fits on no existing machine.
         if unplaced and (job.is_overdue or not job.is_probe or not state.has_eligible_machine(job)):
             self._add_unplaced(job, unplaced)
 
     def _reserve_quota(self, job: JobView) -> None:
-        """Keeps the next CPUs and GPUs of its team's limit for an overdue job: its team's small tasks would
-        use each one as it is released, and a large one would never start."""
+        """Keeps CPUs and GPUs of its team's limit for one task of an overdue job.
+
+        Otherwise small tasks of the team would use each CPU or GPU as it is released, and a large task would
+        never start.
+        """
         cpus, gpus = self._state.reserved_quota.get(job.team, (0.0, 0.0))
         self._state.reserved_quota[job.team] = cpus + job.cpus, gpus + job.gpus
 
@@ -75,72 +78,76 @@
             reserve_capacity(state, job, count)
         self._reservation.reserve(job, count if job.is_gang else 1)
 
-    def _place_up_to(self, job: JobView, wanted: int) -> int:
-        """Places at most so many tasks of the job, and returns how many."""
+    def _place_tasks(self, job: JobView, max_tasks: int) -> int:
+        """Places at most `max_tasks` tasks of the job. Returns how many were placed."""
         ignores_reservation = self._reservation.may_be_ignored_by(job)
-        allowed = self._count_beside_guarantees(job, wanted)
+        allowed = self._count_leaving_guarantees(job, max_tasks)
         if not allowed or not (ignores_reservation or not self._reservation.is_refused(job)):
             return 0
         if not job.is_independent:
             return self._place_task_by_task(job, allowed, ignores_reservation)
-        if job.placement_key() in self._unplaceable and not job.avoided_machines:
+        if job.placement_key() in self._unplaceable_keys and not job.avoided_machines:
             return 0
         return self._place_independent_tasks(job, allowed, ignores_reservation)
 
-    def _count_beside_guarantees(self, job: JobView, wanted: int) -> int:
-        """How many of the tasks leave enough CPUs for every team to claim its guarantee.
+    def _count_leaving_guarantees(self, job: JobView, max_tasks: int) -> int:
+        """How many of the tasks may be placed so that every team can still claim its guarantee.
 
-        Where work must start sooner than a machine boots, capacity is kept free for that. Best-effort work
-        must not use it: each urgent start would wait until some of it had saved and stopped.
+        Where work must start sooner than a machine boots (on-demand machines are preferred there), capacity
+        is kept free for such starts. Best-effort work must not use this capacity, or each urgent start would
+        wait until enough best-effort tasks had saved and stopped.
         """
         state = self._state
         if not state.prefers_on_demand or job.is_overdue or not is_best_effort(job, state.teams):
-            return wanted
+            return max_tasks
         unclaimed = unclaimed_guarantee_cpus(state.teams, state.used_cpus)
-        return min(wanted, job.count_fitting(max(0.0, state.free_cpus() - unclaimed), math.inf))
+        return min(max_tasks, job.count_fitting(max(0.0, state.free_cpus() - unclaimed), math.inf))
 
-    def _place_independent_tasks(self, job: JobView, wanted: int, ignores_reservation: bool) -> int:
-        """Fills one machine after the other with tasks that are all alike."""
+    def _place_independent_tasks(self, job: JobView, max_tasks: int, ignores_reservation: bool) -> int:
+        """Places identical tasks, filling one machine after the other. Returns how many were placed."""
         fitting = self._state.count_fitting(job)
         if not fitting.any():
             if not job.avoided_machines:
-                self._unplaceable.add(job.placement_key())
+                self._unplaceable_keys.add(job.placement_key())
             return 0
         placed = 0
         for row in self._state.placement_order(job, fitting):
-            count = min(int(fitting[row]), wanted - placed)
+            count = min(int(fitting[row]), max_tasks - placed)
             if not ignores_reservation:
                 count = self._reservation.count_allowed(job, int(row), count)
             for index in job.waiting_tasks[placed : placed + count]:
                 self._place_task(job, index, int(row))
             placed += count
-            if placed == wanted:
+            if placed == max_tasks:
                 break
         return placed
 
-    def _place_task_by_task(self, job: JobView, wanted: int, ignores_reservation: bool) -> int:
-        """Places tasks that depend on each other's machines. Those of a gang are placed all or not at all."""
-        placed: list[int] = []
-        for index in job.waiting_tasks[:wanted]:
+    def _place_task_by_task(self, job: JobView, max_tasks: int, ignores_reservation: bool) -> int:
+        """Places tasks one by one, because their eligible machines differ or depend on each other.
+
+        All tasks of a gang are placed, or none. Returns how many were placed.
+        """
+        placed_rows: list[int] = []
+        for index in job.waiting_tasks[:max_tasks]:
             row = self._choose_machine(job, index, ignores_reservation)
             if row is None:
                 if job.excluded_machines and not job.is_gang:
                     continue
                 break
             self._place_task(job, index, row)
-            placed.append(row)
-        if job.is_gang and len(placed) < len(job.waiting_tasks):
-            self._undo_placements(job, placed)
+            placed_rows.append(row)
+        if job.is_gang and len(placed_rows) < len(job.waiting_tasks):
+            self._undo_placements(job, placed_rows)
             return 0
-        return len(placed)
+        return len(placed_rows)
 
     def _choose_machine(self, job: JobView, index: int, ignores_reservation: bool) -> int | None:
-        """The machine that one task is placed on; None if there is none."""
+        """The row of the machine on which to place one task; None if it cannot be placed now."""
         columns = self._state.columns
         fitting = self._state.count_fitting(job)
         for name in job.excluded_machines.get(index, ()):
-            if name in columns.rows:
-                fitting[columns.rows[name]] = 0
+            if name in columns.row_by_name:
+                fitting[columns.row_by_name[name]] = 0
         for row in self._state.placement_order(job, fitting):
             if ignores_reservation or self._reservation.count_allowed(job, int(row), 1):
                 return int(row)
@@ -151,7 +158,7 @@
         machine = state.machines[row]
         state.plan.placements.append(Placement(job.id, index, machine.name))
         task = RunningTask(job.id, index, job.team, job.rank, job.cpus, job.gpus, job.memory, job.estimate)
-        state.placed.append((row, task))
+        state.placed_tasks.append((row, task))
         state.columns.free[row] -= job.demand
         if job.image not in machine.images:
             state.columns.start_fetch(job.image, row)
@@ -160,12 +167,12 @@
         job.tasks_by_zone[machine.zone] = job.tasks_by_zone.get(machine.zone, 0) + 1
         state.add_usage(job.team, job.cpus, job.gpus)
 
-    def _undo_placements(self, job: JobView, placed: list[int]) -> None:
-        """Removes the placements of a gang that did not fit as a whole."""
+    def _undo_placements(self, job: JobView, placed_rows: list[int]) -> None:
+        """Removes the latest placements, on these rows, of a gang that did not fit as a whole."""
         state = self._state
-        for row in reversed(placed):
+        for row in reversed(placed_rows):
             state.plan.placements.pop()
-            state.placed.pop()
+            state.placed_tasks.pop()
             state.columns.free[row] += job.demand
             job.tasks_by_zone[state.machines[row].zone] -= 1
             state.add_usage(job.team, -job.cpus, -job.gpus)
--- a/spindleglade/backfill/planner.py
+++ b/spindleglade/backfill/planner.py
@@ -1,14 +1,15 @@
-"""A planning pass: which waiting tasks start where, and which running ones are preempted for them.
-
-The ordinary path is the paper's: one queue in submission order, array jobs task by task; the first job that
-does not fit holds a reservation, and a later one goes ahead of it if its chance of delaying it is below tau.
-Priorities and guarantees enter where the protocol lets them: work that could preempt a task of the reserved
-job does not wait for the reservation, and may preempt running work. A job that has had no start for long is
-overdue: it comes first, nothing outranks its reservation, and capacity is reserved for it.
-
-Everything here is a function of the snapshot, so it runs without any lock. Tasks of one job are decided
-together: machines are sorted once for all of them, which gives the same placements as choosing the best
-machine for one task after the other.
+"""A planning pass: which waiting tasks start where, and which running tasks are preempted for them.
+
+Placement follows the paper. Jobs are taken in submission order, array jobs task by task. The first job that
+does not fit holds the reservation, and a later job is backfilled if the probability that it delays the
+reserved job is below tau. Priorities and guarantees change this where the protocol allows: work that could
+preempt a task of the reserved job does not wait for the reservation, and may preempt running work. A job that
+has had no task started for a long time is overdue: it is placed first, no job outranks its reservation, and
+capacity is reserved for it.
+
+A plan depends only on its snapshot, so planning needs no lock. The tasks of a job are placed together: the
+machines are sorted once for all of them, which gives the same placements as choosing the best machine for
+each task in turn.
 """
 
 from functools import partial
@@ -23,21 +24,21 @@
 
 
 class Planner:
-    """Makes plans by the operators' settings."""
+    """Makes plans with the operators' settings for tau and preemption."""
 
     def __init__(self, tau: float, preempt: str = PreemptionMode.NONE) -> None:
         self._tau = tau
         self._preemption_mode = PreemptionMode(preempt)
 
     def plan(self, snapshot: Snapshot) -> Plan:
-        """Makes the plan for a snapshot. Writes to the snapshot's jobs and reserved capacity."""
+        """Makes the plan for a snapshot. Modifies the snapshot's jobs and the machines' reserved capacity."""
         state = PlanningState(snapshot)
         preemption = PreemptionPolicy(state, self._preemption_mode)
-        return run_pass(state, Reservation(state, self._tau), preemption)
+        return run_planning_pass(state, Reservation(state, self._tau), preemption)
 
 
-def run_pass(state: PlanningState, reservation: Reservation, preemption: PreemptionPolicy) -> Plan:
-    """Places jobs in the queue's order, past the reserved job where that is allowed, then preempts."""
+def run_planning_pass(state: PlanningState, reservation: Reservation, preemption: PreemptionPolicy) -> Plan:
+    """Places jobs in queue order, backfills past the reserved job, then preempts for unplaced demand."""
     JobPlacer(state, reservation).place_all()
     preemption.preempt_for_unplaced()
     plan = state.plan
--- a/spindleglade/backfill/probability.py
+++ b/spindleglade/backfill/probability.py
@@ -1,22 +1,25 @@
-"""The condition of Algorithm 2: the chance that backfilled tasks delay the reserved job.
+"""The backfilling condition of Algorithm 2: the probability that backfilled tasks delay the reserved job.
 
-M_t[n][c] is the chance that the holders of the first n units have freed at least c units by time t. The
-paper's processors are machines here: a unit is a machine that fits one task of the reserved job once enough
-of what runs on it has ended, so each machine frees one unit or none. The table does not depend on the
-candidate, so it is made once for all that are checked against the same reservation.
+M_t[n][c] is the probability that the tasks holding the first n units have released at least c units by time
+t. The paper counts processors. Here a unit is a machine that fits one task of the reserved job once enough of
+the tasks running on it have ended, so each machine releases at most one unit. The table does not depend on
+the backfill candidate, so it is computed once for all candidates checked against the same reservation.
 """
 
 import numpy as np
 
-from spindleglade.backfill.arrays import Array, Counts
+from spindleglade.backfill.arrays import Array, IntArray
 
-# Times for which the table is computed. Where more tasks may end, some of their ends are left out: the
-# differences hardly change from one end to the next, and a planning pass must stay short.
+# Maximum number of times for which the table is computed. If there are more possible ends, some are left out:
+# the differences hardly change from one end to the next, and a planning pass must stay short.
 MAX_EVENTS = 48
 
 
 def release_probabilities(chances: Array, max_units: int) -> Array:
-    """M_t[n] for all units and c from 0 to `max_units`, one row per time. `chances` has a row per unit."""
+    """Computes M_t[n] for n all units: one row per time t, one column per c from 0 to `max_units`.
+
+    `chances` has a row per unit and a column per time: the probability that the unit is released by then.
+    """
     table = np.zeros((chances.shape[1], max_units + 1))
     table[:, 0] = 1.0
     for chance in chances:
@@ -26,35 +29,42 @@
 
 
 class DelayModel:
-    """When the units of the reserved job are freed, and how likely candidates delay that.
+    """When the units of the reserved job are released, and how likely backfill candidates delay its start.
 
-    `ends` and `weights` have a row for each running task that must end: its possible ends in seconds from now
-    and their weights. `units` is the unit that each task holds, in ascending order. `missing_units` is how
-    many units the job needs beyond those free now.
+    `ends` and `weights` have a row for each running task that must end first: its possible ends, in seconds
+    from now, and their weights. `units` gives the unit that each task holds, in ascending order.
+    `missing_units` is the number of units that the job needs beyond those free now.
     """
 
     def __init__(
-        self, ends: Array, weights: Array, units: Counts, missing_units: int, max_events: int = MAX_EVENTS
+        self, ends: Array, weights: Array, units: IntArray, missing_units: int, max_events: int = MAX_EVENTS
     ) -> None:
         self._missing_units = missing_units
         events = np.unique(ends[weights > 0])
         if len(events) > max_events:
             events = events[np.linspace(0, len(events) - 1, max_events).astype(int)]
         self._events = events
-        # Chance of each task to have ended by each event; run times are taken as independent, as in the
-        # paper.
-        ended = np.zeros((len(ends), len(events)))
+        # The probability that each task has ended by each event. Run times are taken as independent, as in
+        # the paper.
+        end_chances = np.zeros((len(ends), len(events)))
         for column in range(ends.shape[1]):
             weight = weights[:, column]
             if weight.any():
-                ended += weight[:, None] * (ends[:, column][:, None] <= events)
-        first_tasks = np.nonzero(np.diff(units, prepend=-1))[0]
-        self._chances = np.multiply.reduceat(ended, first_tasks, axis=0) if len(first_tasks) else ended[:0]
+                end_chances += weight[:, None] * (ends[:, column][:, None] <= events)
+        first_task_rows = np.nonzero(np.diff(units, prepend=-1))[0]
+        self._chances = (
+            np.multiply.reduceat(end_chances, first_task_rows, axis=0)
+            if len(first_task_rows)
+            else end_chances[:0]
+        )
         self._table = release_probabilities(self._chances, missing_units)
         self._max_differences: dict[int, Array] = {}
 
-    def _differences(self, units_taken: int) -> Array:
-        """Largest M_t[c_q] - M_t[c] up to each event, c being `units_taken` more than the missing units."""
+    def _max_differences_by_event(self, units_taken: int) -> Array:
+        """The largest M_t[c_q] - M_t[c] up to each event.
+
+        c_q is the number of missing units, and c is larger by `units_taken`.
+        """
         if units_taken not in self._max_differences:
             if self._table.shape[1] <= self._missing_units + units_taken:
                 self._table = release_probabilities(self._chances, self._missing_units + 2 * units_taken)
@@ -65,10 +75,17 @@
         return self._max_differences[units_taken]
 
     def delay_probability(self, ends: Array, weights: Array, units_taken: int = 1) -> float:
-        """The chance that the reserved job is delayed if so many units are taken by tasks with these possible
-        ends: over the bins, the bin's weight times the largest difference before its end."""
+        """The probability that the reserved job is delayed if candidates take `units_taken` units.
+
+        `ends` and `weights` are the candidates' possible ends, in seconds from now. The probability is the
+        sum over the bins of the bin's weight times the largest difference before the bin's end.
+        """
         if not len(self._events):
             return 0.0
-        before = np.searchsorted(self._events, ends, side="left")
-        largest = np.where(before > 0, self._differences(units_taken)[np.maximum(before, 1) - 1], 0.0)
-        return float(weights @ largest)
+        events_before = np.searchsorted(self._events, ends, side="left")
+        max_differences = np.where(
+            events_before > 0,
+            self._max_differences_by_event(units_taken)[np.maximum(events_before, 1) - 1],
+            0.0,
+        )
+        return float(weights @ max_differences)
--- a/spindleglade/backfill/reservation.py
+++ b/spindleglade/backfill/reservation.py
@@ -1,4 +1,4 @@
-"""The reservation of the first job that did not fit: when it is expected to start, and what may go ahead."""
+"""The reservation of the first job that did not fit: when it may start, and what may be backfilled."""
 
 from datetime import timedelta
 
@@ -9,48 +9,55 @@
 from spindleglade.backfill.readiness import readiness
 from spindleglade.backfill.snapshot import JobView, Key
 
-# Machines that may have capacity reserved for overdue jobs: one of so many, and at least one.
+# Capacity for overdue jobs may be reserved on one in this many machines, and always on at least one.
 _MACHINES_PER_RESERVATION = 16
 
 
 class Reservation:
-    """Holds the reserved job, and decides which tasks may be placed ahead of it."""
+    """Holds the reserved job and decides which tasks may be backfilled ahead of it."""
 
     def __init__(self, state: PlanningState, tau: float) -> None:
         self._state = state
-        # The highest chance of delaying the reserved job at which a task may still go ahead.
+        # A task may be backfilled if the probability that it delays the reserved job is below this.
         self._tau = tau
-        self._job: JobView | None = None
+        self._reserved_job: JobView | None = None
+        # How many tasks of the reserved job must fit at once: all tasks of a gang, otherwise one.
         self._task_count = 1
-        # Made once a task asks to go ahead.
-        self._model: DelayModel | None = None
-        # For each machine that is a unit for the reserved job, CPUs, GPUs and memory that others may use
-        # without taking the unit.
-        self._spare: dict[int, tuple[float, float, float]] = {}
-        # Units that tasks which went ahead have taken in this pass.
+        # Computed when the first backfill candidate is checked.
+        self._cached_model: DelayModel | None = None
+        # By row of each machine that is a unit for the reserved job: CPUs, GPUs and memory that backfilled
+        # tasks may use without taking the unit.
+        self._spare_capacity: dict[int, tuple[float, float, float]] = {}
+        # Units taken by tasks that were backfilled in this pass.
         self._units_taken = 0
-        # Keys of tasks that may not take a unit.
-        self._refused: set[Key] = set()
+        # Equivalence keys of tasks that may not take a unit.
+        self._refused_keys: set[Key] = set()
 
     def reserve(self, job: JobView, task_count: int) -> None:
-        """Reserves for this job, unless another holds the reservation already."""
-        if self._job is None:
-            self._job = job
+        """Gives the reservation to the job, unless another job holds it already."""
+        if self._reserved_job is None:
+            self._reserved_job = job
             self._task_count = task_count
             self._state.plan.reserved_job = job.id
 
     def is_refused(self, job: JobView) -> bool:
-        """Whether tasks like those of the job may not take a unit."""
-        return job.equivalence_key() in self._refused
+        """Whether tasks equivalent to those of the job may not take a unit."""
+        return job.equivalence_key() in self._refused_keys
 
     def may_be_ignored_by(self, job: JobView) -> bool:
-        """Whether the job need not consider the reservation: there is none, or the job outranks it. Nothing
-        outranks an overdue job."""
-        return self._job is None or (not self._job.is_overdue and self._outranks(job, self._job))
+        """Whether the job need not respect the reservation: there is none, or the job outranks its holder.
+
+        No job outranks an overdue job.
+        """
+        return self._reserved_job is None or (
+            not self._reserved_job.is_overdue and self._outranks(job, self._reserved_job)
+        )
 
     def _outranks(self, job: JobView, reserved_job: JobView) -> bool:
-        """Whether the job might preempt a task of the reserved job by the protocol's rules. To hold it back
-        would only make it do so later, and lose that task's work."""
+        """Whether the job might preempt a task of the reserved job by the protocol's rules.
+
+        Holding the job back would only postpone the preemption, and the preempted task would lose its work.
+        """
         if job.rank > reserved_job.rank:
             return True
         return (
@@ -59,25 +66,25 @@
             and not self._state.is_within_guarantee(reserved_job)
         )
 
-    def count_allowed(self, job: JobView, row: int, wanted: int) -> int:
-        """How many of the tasks that fit the machine may go ahead of the reserved job.
+    def count_allowed(self, job: JobView, row: int, max_tasks: int) -> int:
+        """How many of `max_tasks` tasks that fit on the machine may be backfilled.
 
-        Tasks that leave enough for the reserved job's task take no unit and delay nothing. The first that
-        does not is decided by Algorithm 2, for all alike.
+        Tasks that leave enough capacity for a task of the reserved job take no unit and delay nothing. For
+        the first task that would take the unit, Algorithm 2 decides for all equivalent tasks.
         """
         model = self._delay_model()
-        spare = self._spare.get(row)
+        spare = self._spare_capacity.get(row)
         if spare is None:
-            return wanted
-        count = min(wanted, job.count_fitting(*spare))
-        if count < wanted and not self.is_refused(job):
+            return max_tasks
+        count = min(max_tasks, job.count_fitting(*spare))
+        if count < max_tasks and not self.is_refused(job):
             if self._is_delay_unlikely(job, model):
                 self._units_taken += 1
-                del self._spare[row]
-                return wanted
-            self._refused.add(job.equivalence_key())
+                del self._spare_capacity[row]
+                return max_tasks
+            self._refused_keys.add(job.equivalence_key())
         if count:
-            self._spare[row] = (
+            self._spare_capacity[row] = (
                 spare[0] - job.cpus * count,
                 spare[1] - job.gpus * count,
                 spare[2] - job.memory * count,
@@ -85,38 +92,41 @@
         return count
 
     def _is_delay_unlikely(self, job: JobView, model: DelayModel) -> bool:
-        """Whether the chance that a task of the job delays the reserved job is below tau."""
+        """Whether the probability that a task of the job delays the reserved job is below tau."""
         self._state.plan.delay_checks += 1
         ends, weights = self._state.predictor.remaining(job.team, job.estimate, timedelta(0))
         return model.delay_probability(ends, weights, self._units_taken + 1) < self._tau
 
     def _delay_model(self) -> DelayModel:
-        if self._model is None:
-            assert self._job is not None
-            units = readiness(self._state, self._job)
+        if self._cached_model is None:
+            assert self._reserved_job is not None
+            units = readiness(self._state, self._reserved_job)
             rows = np.nonzero(units.is_unit)[0]
-            self._spare = {int(row): tuple(units.left_over[row]) for row in rows}
+            self._spare_capacity = {int(row): tuple(units.left_over[row]) for row in rows}
             ready_count = int((units.is_unit & (units.seconds_until == 0.0)).sum())
-            missing_units = max(1, min(self._task_count, len(self._spare)) - ready_count)
-            self._model = DelayModel(units.ends, units.weights, units.ending_machines, missing_units)
-        return self._model
+            missing_units = max(1, min(self._task_count, len(self._spare_capacity)) - ready_count)
+            self._cached_model = DelayModel(
+                units.ends, units.weights, units.ending_machine_rows, missing_units
+            )
+        return self._cached_model
 
 
 def reserve_capacity(state: PlanningState, job: JobView, task_count: int) -> None:
-    """Reserves capacity for tasks of an overdue job on the machines that fit one soonest, so that nothing
-    small is placed there before enough is free in one place.
+    """Reserves capacity for tasks of an overdue job on the machines that are expected to fit one soonest.
 
-    It keeps what is reserved already. Reserved machines are partly idle meanwhile, so only some may be.
+    This keeps small tasks off a machine until it has enough free capacity for a task of the job. Capacity
+    that is already reserved for the job stays reserved. The number of reserved machines is limited because
+    they are partly idle until the task starts.
     """
     machines, columns, plan = state.machines, state.columns, state.plan
     reserved_count = 0
-    for row in columns.reserved:
+    for row in columns.reserved_rows:
         count = machines[row].reserved_capacity.get(job.id, 0)
         if count > 0:
             plan.reserved_capacity.append((machines[row].name, job.id, count))
             reserved_count += count
     max_reserved = max(1, len(machines) // _MACHINES_PER_RESERVATION)
-    additional = min(task_count - reserved_count, max_reserved - len(columns.reserved))
+    additional = min(task_count - reserved_count, max_reserved - len(columns.reserved_rows))
     if additional <= 0:
         return
     units = readiness(state, job)
@@ -127,5 +137,5 @@
         if machines[row].reserved_capacity:
             continue
         machines[row].reserved_capacity[job.id] = 1
-        columns.reserved.append(int(row))
+        columns.reserved_rows.append(int(row))
         plan.reserved_capacity.append((machines[row].name, job.id, 1))
--- a/spindleglade/backfill/snapshot.py
+++ b/spindleglade/backfill/snapshot.py
@@ -11,28 +11,28 @@
 from spindleglade.backfill.distributions import Predictor
 from spindleglade.settings.platform import Team
 
-# Free CPUs, GPUs and gigabytes are sums and differences, so a lack of less than this is a rounding error.
+# Free capacity (CPUs, GPUs, GB) is a sum of floats, so a shortage of less than this is a rounding error.
 CAPACITY_TOLERANCE = 1e-6
 
-# More tasks than there can be, for where nothing limits their number.
+# Stands for an unlimited number of tasks; more than there can be.
 UNLIMITED_TASKS = 1e9
 
 
-# What jobs or tasks are grouped by.
+# A key by which jobs or tasks are grouped.
 Key = tuple[Hashable, ...]
 
-# The columns of `task_rows`. A task that has not begun to run has no start.
+# The columns of `task_rows`. The start of a task that has not begun to run is NaN.
 TEAM_COLUMN = 0
 ESTIMATE_COLUMN = 1
 RUNNING_SINCE_COLUMN = 2
-# CPUs, GPUs, memory.
+# CPUs, GPUs and memory.
 DEMAND_COLUMNS = slice(3, 6)
 _COLUMN_COUNT = 6
 
 
 @dataclass(slots=True)
 class RunningTask:
-    """A task that is, or must be assumed to be, on a machine."""
+    """A task that is on a machine, or must be assumed to be."""
 
     job: str
     index: int
@@ -42,11 +42,11 @@
     gpus: float
     memory: float
     estimate: timedelta
-    # Since when it runs; None while it fetches its image.
+    # When it began to run; None while it fetches its image.
     running_since: timedelta | None = None
-    # The most run time that preempting it loses; None: all of it.
+    # The most run time that is lost if it is preempted; None if all of it is lost.
     max_loss: timedelta | None = None
-    # Whether it is being stopped already.
+    # Whether it is already being stopped.
     stopping: bool = False
     # Whether it was started because its job was overdue.
     started_overdue: bool = False
@@ -56,8 +56,8 @@
 class MachineView:
     """A machine as planning sees it.
 
-    Reused until something on the machine changes, so a planning pass may write to `reserved_capacity` and to
-    nothing else.
+    A view is reused for later snapshots until something on the machine changes, so a planning pass must not
+    modify any field but `reserved_capacity`.
     """
 
     name: str
@@ -69,18 +69,18 @@
     memory: float
     fetch_gb_per_s: float
     tasks: list[RunningTask]
-    # Images present, and those being fetched.
+    # Images on the machine, and images being fetched.
     images: set[str] = field(default_factory=set)
     fetching: set[str] = field(default_factory=set)
     is_usable: bool = True
-    # For each job that capacity is reserved for, how many tasks it may place here.
+    # Capacity reserved on this machine: number of tasks by job id.
     reserved_capacity: dict[str, int] = field(default_factory=dict)
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_memory: float = 0.0
     # CPUs and GPUs in use, by team.
     used: dict[str, tuple[float, float]] = field(default_factory=dict)
-    _rows: Array | None = None
+    _cached_task_rows: Array | None = None
 
     def __post_init__(self) -> None:
         self.free_cpus = self.cpus - sum(task.cpus for task in self.tasks)
@@ -91,14 +91,14 @@
             self.used[task.team] = (cpus + task.cpus, gpus + task.gpus)
 
     def task_rows(self, team_codes: dict[str, int]) -> Array:
-        """The rows of its tasks, computed once."""
-        if self._rows is None:
-            self._rows = task_rows(self.tasks, team_codes)
-        return self._rows
+        """The `task_rows` of the machine's tasks, computed once."""
+        if self._cached_task_rows is None:
+            self._cached_task_rows = task_rows(self.tasks, team_codes)
+        return self._cached_task_rows
 
 
 def task_rows(tasks: list[RunningTask], team_codes: dict[str, int]) -> Array:
-    """A row for each task; a team without a code has -1."""
+    """One row per task. The code of an unknown team is -1."""
     return np.array(
         [
             (
@@ -123,7 +123,7 @@
     team: str
     job_class: str
     rank: int
-    # Numbers of waiting tasks, in order; only as many as one planning pass may place.
+    # Indices of waiting tasks in order, limited to as many as one planning pass may place.
     waiting_tasks: list[int]
     task_count: int
     cpus: float
@@ -137,23 +137,23 @@
     spread: bool
     spot: bool
     estimate: timedelta
-    # Tasks now placed, by zone.
+    # Number of tasks that are now placed in each zone.
     tasks_by_zone: dict[str, int] = field(default_factory=dict)
-    # All waiting tasks are placed in one planning pass, or none is.
+    # Whether all waiting tasks must be placed in one planning pass, or none.
     is_gang: bool = False
-    # No task of it was started for so long that nothing may go before it.
+    # Whether none of its tasks has been started for so long that the job is placed before all others.
     is_overdue: bool = False
-    # Machines on which its tasks failed.
+    # Names of the machines on which its tasks failed.
     avoided_machines: frozenset[str] = frozenset()
-    # For waiting tasks, the machines that still hold an earlier attempt.
+    # By index of a waiting task, the names of the machines that still hold an earlier attempt of it.
     excluded_machines: dict[int, set[str]] = field(default_factory=dict)
-    # It failed on several machines; one task shows whether it still does.
+    # Whether the job failed on several machines and one task is run to see whether it still fails.
     is_probe: bool = False
-    # Dependents will miss a deadline unless it starts now.
+    # Whether its dependents will miss a deadline unless it starts now.
     is_urgent: bool = False
 
     def equivalence_key(self) -> Key:
-        """Once a task with this key may not go ahead of the reserved job, none with the same key may."""
+        """The key of equivalent tasks: if one may not be backfilled, none of them may."""
         return (
             self.team,
             self.job_class,
@@ -171,16 +171,16 @@
         )
 
     def placement_key(self) -> Key:
-        """Tasks with the same key fit the same machines."""
+        """The key of tasks that fit on the same machines."""
         return (self.cpus, self.gpus, self.memory, self.types, self.zone, self.spot)
 
     @property
     def demand(self) -> tuple[float, float, float]:
-        """What a task uses: CPUs, GPUs, memory."""
+        """CPUs, GPUs and memory that one task uses."""
         return (self.cpus, self.gpus, self.memory)
 
     def count_fitting(self, cpus: float, gpus: float, memory: float = math.inf) -> int:
-        """How many of its tasks fit into this capacity, which is infinite for a team without a limit."""
+        """How many of its tasks fit into this capacity, which may be infinite: a team may have no limit."""
         count = min(UNLIMITED_TASKS, (cpus + CAPACITY_TOLERANCE) / self.cpus)
         if self.gpus > 0:
             count = min(count, (gpus + CAPACITY_TOLERANCE) / self.gpus)
@@ -198,32 +198,34 @@
 
     @property
     def is_independent(self) -> bool:
-        """Whether the machines that one task may be placed on do not depend on where the others are."""
+        """Whether all tasks have the same eligible machines, wherever the others are placed."""
         return not (self.one_zone or self.spread or self.is_gang or self.excluded_machines)
 
 
 def is_best_effort(work: RunningTask | JobView, teams: dict[str, Team]) -> bool:
-    """Whether it only uses capacity that would be idle: it has the lowest priority, and its team has no
-    guarantee."""
+    """Whether the work may use only capacity that would otherwise be idle.
+
+    Such work has the lowest priority, and its team has no guarantee.
+    """
     team = teams.get(work.team)
     return work.rank == 0 and (team is None or not (team.cpus or team.gpus))
 
 
 def unclaimed_guarantee_cpus(teams: dict[str, Team], used: dict[str, float]) -> float:
-    """CPUs of the teams' guarantees that they do not use."""
+    """Total of the CPUs that teams are guaranteed but do not use."""
     return sum(max(0.0, team.cpus - used.get(team.name, 0.0)) for team in teams.values())
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """All that one planning pass depends on."""
+    """The input of one planning pass."""
 
-    # In submission order.
+    # Jobs with waiting tasks, in submission order.
     jobs: list[JobView]
     machines: list[MachineView]
     teams: dict[str, Team]
     predictor: Predictor
     now: timedelta
-    # On-demand machines are not reclaimed by the cloud. Spot ones are cheaper, and where they are preferred
-    # the on-demand ones are idle sooner.
+    # Whether on-demand machines are filled before spot machines. The cloud does not reclaim on-demand ones.
+    # Spot machines are cheaper, and where they are preferred, on-demand machines become idle sooner.
     prefers_on_demand: bool = False
--- a/spindleglade/backfill/test_distributions.py
+++ b/spindleglade/backfill/test_distributions.py
@@ -1,4 +1,4 @@
-"""Bins, Algorithm 1, and the histories of teams."""
+"""Bins, Algorithm 1 and team histories."""
 
 import math
 from datetime import timedelta
@@ -10,7 +10,7 @@
 from spindleglade.backfill.distributions import Bins, Predictor
 
 BINS = Bins(timedelta(seconds=1), 1.8)
-models = st.lists(st.integers(0, 5), min_size=BINS.count, max_size=BINS.count).filter(any)
+histograms = st.lists(st.integers(0, 5), min_size=BINS.count, max_size=BINS.count).filter(any)
 
 
 @given(st.floats(0, 600_000))
@@ -20,15 +20,15 @@
     assert index == 0 or run > BINS.ends[index - 1]
 
 
-@given(models, st.floats(0, 1000), st.floats(0.1, 2000))
-def test_what_remains_of_a_distribution_is_algorithm_1(counts, elapsed, bound):
-    model = np.array(counts, float) / sum(counts)
-    ends, weights = BINS.remaining(model, elapsed, bound)
+@given(histograms, st.floats(0, 1000), st.floats(0.1, 2000))
+def test_the_remaining_distribution_follows_algorithm_1(counts, elapsed, bound):
+    distribution = np.array(counts, float) / sum(counts)
+    ends, weights = BINS.remaining(distribution, elapsed, bound)
     assert abs(weights.sum() - 1) < 1e-9
     assert all(end >= elapsed for end in ends)
     assert list(ends) == sorted(ends)
     expected = []
-    for weight, start, end in zip(model, BINS.starts, BINS.ends, strict=True):
+    for weight, start, end in zip(distribution, BINS.starts, BINS.ends, strict=True):
         low, high = max(start, min(elapsed, end)), min(end, max(bound, start))
         expected.append(max(0.0, weight * math.log(high / low)) / math.log(1.8))
     if elapsed < bound and sum(expected) > 1e-12:
@@ -53,15 +53,18 @@
     predictor = Predictor(Bins(seconds(1), 1.8), 10, 100)
     for run in runs:
         predictor.add("u", seconds(run))
-    # Times are whole microseconds in the planner's rows too, which are made of the same `timedelta`s.
-    timed = [(team, seconds(estimate), seconds(elapsed)) for team, estimate, elapsed in tasks]
-    rows = [(team, estimate.total_seconds(), elapsed.total_seconds()) for team, estimate, elapsed in timed]
+    # The planner's rows are made from `timedelta`s too, so their times are also whole microseconds.
+    timedelta_tasks = [(team, seconds(estimate), seconds(elapsed)) for team, estimate, elapsed in tasks]
+    rows = [
+        (team, estimate.total_seconds(), elapsed.total_seconds())
+        for team, estimate, elapsed in timedelta_tasks
+    ]
     ends, weights = predictor.remaining_of_tasks(["t", "u"], np.array(rows, float))
-    for row, (team, estimate, elapsed) in enumerate(timed):
+    for row, (team, estimate, elapsed) in enumerate(timedelta_tasks):
         expected = predictor.remaining(["t", "u"][team], estimate, elapsed)
-        some = weights[row] > 0
-        assert np.allclose(ends[row][some], expected[0][expected[1] > 0], atol=1e-4)
-        assert np.allclose(weights[row][some], expected[1][expected[1] > 0], atol=1e-4)
+        has_weight = weights[row] > 0
+        assert np.allclose(ends[row][has_weight], expected[0][expected[1] > 0], atol=1e-4)
+        assert np.allclose(weights[row][has_weight], expected[1][expected[1] > 0], atol=1e-4)
 
 
 def test_a_team_without_history_is_predicted_by_the_estimate():
@@ -89,9 +92,9 @@
         predictor.add("a", seconds(run))
     successor = Predictor(BINS, min_runs=3, max_runs=100)
     successor.load("a", predictor.export("a"))
-    for ours, theirs in zip(
+    for original, restored in zip(
         predictor.remaining("a", seconds(9), seconds(1)),
         successor.remaining("a", seconds(9), seconds(1)),
         strict=True,
     ):
-        assert np.allclose(ours, theirs)
+        assert np.allclose(original, restored)
--- a/spindleglade/backfill/test_planner.py
+++ b/spindleglade/backfill/test_planner.py
@@ -21,7 +21,7 @@
 
 
 def job(id, cpus=2.0, waiting=1, team="t", estimate=10.0, rank=1, **fields):
-    given = {
+    attributes = {
         "job_class": "c",
         "memory": 1.0,
         "gpus": 0.0,
@@ -41,14 +41,14 @@
         task_count=waiting,
         cpus=cpus,
         estimate=seconds(estimate),
-        **given,
+        **attributes,
     )
 
 
 def machine(name, tasks=(), cpus=8.0, **fields):
-    given = {"type": "m", "zone": "a", "spot": False} | fields
+    attributes = {"type": "m", "zone": "a", "spot": False} | fields
     return MachineView(
-        name=name, cpus=cpus, gpus=0.0, memory=32.0, fetch_gb_per_s=1.0, tasks=list(tasks), **given
+        name=name, cpus=cpus, gpus=0.0, memory=32.0, fetch_gb_per_s=1.0, tasks=list(tasks), **attributes
     )
 
 
@@ -70,9 +70,10 @@
     assert started(result) == [("job-1", "n-1")] and result.reserved_job == "job-2"
 
 
-def test_a_short_job_goes_ahead_of_the_reserved_one_and_a_long_one_does_not():
-    """The reserved job needs an empty machine; one frees its 8 CPUs in 10 s, the other has 4 CPUs free beside
-    a task that ends in 5 s. By estimates, a task that ends after 5 s there would delay the job."""
+def test_a_short_job_is_backfilled_and_a_long_one_is_not():
+    """The reserved job needs an empty machine. One machine releases its 8 CPUs in 10 s, the other has 4 CPUs
+    free beside a task that ends in 5 s. By the estimates, a candidate that ends after 5 s on the latter would
+    delay the reserved job."""
 
     def machines():
         return [machine("n-1", [running(8.0)]), machine("n-2", [running(4.0, estimate=5.0)])]
@@ -83,8 +84,8 @@
 
 
 def test_tau_decides_by_the_distribution_not_by_the_estimate():
-    """Nine of ten runs of the team are short: the chance that a candidate outlasts the task beside it is
-    compared with tau, whatever its estimate is."""
+    """Nine of ten runs of the team are short. The probability that a candidate outlasts the task beside it is
+    compared with tau, whatever the candidate's estimate is."""
     predictor = Predictor(Bins(seconds(1), 1.8), 10, 1000)
     for run in [1.5] * 180 + [60.0] * 20:
         predictor.add("u", seconds(run))
@@ -160,29 +161,32 @@
 
 
 @given(jobs, machines)
-def test_no_plan_exceeds_a_limit_or_uses_an_ineligible_machine(jobs, shapes):
+def test_no_plan_exceeds_a_limit_or_uses_an_ineligible_machine(jobs, machine_specs):
     views = [
-        machine(f"n-{number}", [running(cpus) for cpus in task_cpus], zone=zone, spot=spot, is_usable=open)
-        for number, (zone, spot, task_cpus, open) in enumerate(shapes)
+        machine(f"n-{number}", [running(cpus) for cpus in task_cpus], zone=zone, spot=spot, is_usable=usable)
+        for number, (zone, spot, task_cpus, usable) in enumerate(machine_specs)
     ]
     cpus_in_use = {view.name: sum(task.cpus for task in view.tasks) for view in views}
-    closed = {view.name for view in views if not view.is_usable}
+    unusable = {view.name for view in views if not view.is_usable}
     used = {"t": sum(cpus_in_use.values()), "u": 0.0}
-    by_name, by_id = {view.name: view for view in views}, {waiting.id: waiting for waiting in jobs}
+    by_name, by_id = (
+        {view.name: view for view in views},
+        {waiting_job.id: waiting_job for waiting_job in jobs},
+    )
     result = plan(jobs, views)
     assert len({(placement.job, placement.index) for placement in result.placements}) == len(
         result.placements
     )
     zones: dict[str, set[str]] = {}
     for placement in result.placements:
-        waiting, view = by_id[placement.job], by_name[placement.machine]
-        assert placement.index in waiting.waiting_tasks and view.name not in closed
-        cpus_in_use[view.name] += waiting.cpus
-        used[waiting.team] += waiting.cpus
-        assert waiting.zone in (None, view.zone) and (waiting.spot or not view.spot)
-        assert waiting.types is None or view.type in waiting.types
-        zones.setdefault(waiting.id, set()).add(view.zone)
-        assert not waiting.one_zone or len(zones[waiting.id]) == 1
+        waiting_job, view = by_id[placement.job], by_name[placement.machine]
+        assert placement.index in waiting_job.waiting_tasks and view.name not in unusable
+        cpus_in_use[view.name] += waiting_job.cpus
+        used[waiting_job.team] += waiting_job.cpus
+        assert waiting_job.zone in (None, view.zone) and (waiting_job.spot or not view.spot)
+        assert waiting_job.types is None or view.type in waiting_job.types
+        zones.setdefault(waiting_job.id, set()).add(view.zone)
+        assert not waiting_job.one_zone or len(zones[waiting_job.id]) == 1
     assert all(cpus <= 8.0 for cpus in cpus_in_use.values())
     assert used["u"] <= 12.0 and (
         used["t"] <= 64.0 or not any(by_id[start.job].team == "t" for start in result.placements)
@@ -190,13 +194,13 @@
 
 
 @given(jobs, machines)
-def test_tasks_placed_together_go_where_they_would_go_one_by_one(jobs, shapes):
-    """The plain form, for the queue up to the first job that does not fit: each task goes to the machine
-    where it runs soonest, the fullest of those."""
-    jobs = [waiting for waiting in jobs if waiting.cpus <= 8.0]
+def test_tasks_placed_together_go_where_they_would_go_one_by_one(jobs, machine_specs):
+    """Compares with placing tasks one at a time, for the queue up to the first job that does not fit: each
+    task goes to the machine where it runs soonest, and of those to the fullest."""
+    jobs = [waiting_job for waiting_job in jobs if waiting_job.cpus <= 8.0]
     views = [
-        machine(f"n-{number}", [running(cpus) for cpus in task_cpus], zone=zone, spot=spot, is_usable=open)
-        for number, (zone, spot, task_cpus, open) in enumerate(shapes)
+        machine(f"n-{number}", [running(cpus) for cpus in task_cpus], zone=zone, spot=spot, is_usable=usable)
+        for number, (zone, spot, task_cpus, usable) in enumerate(machine_specs)
     ]
     for number, view in enumerate(views):
         (view.images if number % 3 == 0 else view.fetching).add("i" if number % 2 else "other")
@@ -206,37 +210,41 @@
     zones: dict[str, str] = {}
     expected: list[tuple[str, str]] = []
     blocked = False
-    for waiting in sorted(jobs, key=lambda waiting: -waiting.rank):
-        for _ in waiting.waiting_tasks:
-            if used[waiting.team] + waiting.cpus > TEAMS[waiting.team].cpus_max + 1e-6:
+    for waiting_job in sorted(jobs, key=lambda waiting_job: -waiting_job.rank):
+        for _ in waiting_job.waiting_tasks:
+            if used[waiting_job.team] + waiting_job.cpus > TEAMS[waiting_job.team].cpus_max + 1e-6:
                 break
-            options = []
+            candidates = []
             for view in views:
-                fits = free[view.name] >= waiting.cpus and view.is_usable
-                here = waiting.zone in (None, view.zone) and (waiting.spot or not view.spot)
-                here = here and (waiting.types is None or view.type in waiting.types)
-                if fits and here and (not waiting.one_zone or zones.get(waiting.id, view.zone) == view.zone):
-                    others = len(fetching[view.name] | {waiting.image})
-                    fetch = 0 if waiting.image in view.images else others
-                    options.append((fetch, not view.spot, free[view.name], view))
-            if not options:
+                fits = free[view.name] >= waiting_job.cpus and view.is_usable
+                is_eligible = waiting_job.zone in (None, view.zone) and (waiting_job.spot or not view.spot)
+                is_eligible = is_eligible and (waiting_job.types is None or view.type in waiting_job.types)
+                if (
+                    fits
+                    and is_eligible
+                    and (not waiting_job.one_zone or zones.get(waiting_job.id, view.zone) == view.zone)
+                ):
+                    fetches_sharing = len(fetching[view.name] | {waiting_job.image})
+                    fetch_s = 0 if waiting_job.image in view.images else fetches_sharing
+                    candidates.append((fetch_s, not view.spot, free[view.name], view))
+            if not candidates:
                 blocked = True
                 break
-            best = min(options, key=lambda option: option[:3])[3]
-            expected.append((waiting.id, best.name))
-            free[best.name] -= waiting.cpus
-            used[waiting.team] += waiting.cpus
-            zones.setdefault(waiting.id, best.zone)
-            if waiting.image not in best.images:
-                fetching[best.name].add(waiting.image)
+            best = min(candidates, key=lambda candidate: candidate[:3])[3]
+            expected.append((waiting_job.id, best.name))
+            free[best.name] -= waiting_job.cpus
+            used[waiting_job.team] += waiting_job.cpus
+            zones.setdefault(waiting_job.id, best.zone)
+            if waiting_job.image not in best.images:
+                fetching[best.name].add(waiting_job.image)
         if blocked:
             break
     assert started(plan(jobs, views))[: len(expected)] == expected
 
 
 def seconds_until_start(overdue_at):
-    """When a task that needs an empty machine starts beside an endless stream of small ones of a higher
-    priority; None if it has not after 200 s."""
+    """Seconds until a task that needs an empty machine starts beside an endless stream of small tasks of a
+    higher priority; None if it has not started after 200 s. Its job is overdue from second `overdue_at`."""
     busy = [[] for _ in range(3)]
     reservations, starts = [{} for _ in busy], 0
     for second in range(200):
@@ -264,16 +272,16 @@
 
 
 def test_a_large_task_is_not_starved_by_an_endless_stream_of_small_ones():
-    # Once it is overdue, what one machine frees is reserved for it; without that it waits for ever.
+    # Once its job is overdue, what one machine releases is reserved for it. Otherwise it waits forever.
     assert seconds_until_start(1000) is None
     assert seconds_until_start(60) in range(60, 75)
 
 
 def test_an_overdue_job_is_not_starved_by_its_own_teams_small_ones():
-    """The team "u" is at its limit of 12 CPUs. Before each pass one CPU of it is released, and small tasks of
-    high priority wait for it; without a reserved quota the overdue job never gets its four."""
+    """The team "u" is at its limit of 12 CPUs. Before each pass one of its CPUs is released, and small tasks
+    of high priority wait for it. Without a reserved quota the overdue job never gets its four CPUs."""
 
-    def passes(is_overdue):
+    def passes_until_start(is_overdue):
         small = 12
         for number in range(8):
             small -= 1
@@ -290,12 +298,12 @@
             small += placed.count("job-2")
         return None
 
-    assert passes(False) is None
-    assert passes(True) == 3
+    assert passes_until_start(False) is None
+    assert passes_until_start(True) == 3
 
 
 def test_the_preferred_kind_of_machine_is_used_first():
-    """Work spread over on-demand machines would leave them half empty at several times the price."""
+    """Work spread over on-demand machines too would leave them half empty at several times the spot price."""
     views = [machine("n-1"), machine("n-2", spot=True)]
     predictor = Predictor(Bins(seconds(1), 1.8), 3, 100)
     for prefers_on_demand, name in ((False, "n-2"), (True, "n-1")):
@@ -304,21 +312,23 @@
 
 
 def test_only_some_tasks_of_an_overdue_job_go_first():
-    """If all of them did, late work of normal priority would starve work of high priority."""
-    late, high = job("job-1", 1.0, waiting=16, is_overdue=True), job("job-2", 1.0, waiting=4, rank=2)
-    result = started(plan([late, high], [machine("n-1")]))
+    """If all of them did, overdue work of normal priority would starve work of high priority."""
+    overdue, high = job("job-1", 1.0, waiting=16, is_overdue=True), job("job-2", 1.0, waiting=4, rank=2)
+    result = started(plan([overdue, high], [machine("n-1")]))
     assert [name for name, _ in result] == ["job-1"] * 2 + ["job-2"] * 4 + ["job-1"] * 2
 
 
 def test_a_probe_is_unplaced_demand_only_if_it_is_overdue_or_fits_no_machine():
-    """One that fits no machine there must not wait for ever."""
+    """A probe that fits on no existing machine must not wait forever."""
 
     def result(cpus=8.0, **fields):
         return plan([job("job-1", cpus, is_probe=True, **fields)], [machine("n-1", [running(4.0)])])
 
     assert result().reserved_job is None and not result().unplaced
-    for unlike in (result(is_overdue=True), result(cpus=9.0), result(zone="b")):
-        assert unlike.reserved_job == "job-1" and [unplaced.count for unplaced in unlike.unplaced] == [1]
+    for with_demand in (result(is_overdue=True), result(cpus=9.0), result(zone="b")):
+        assert with_demand.reserved_job == "job-1" and [
+            unplaced.count for unplaced in with_demand.unplaced
+        ] == [1]
 
 
 def test_nothing_outranks_the_reservation_of_an_overdue_job():
@@ -328,25 +338,26 @@
 
 
 def test_the_same_snapshot_gives_the_same_plan():
-    def once():
+    def make_plan():
         return plan([job("job-1", 2.0, waiting=5), job("job-2", 8.0)], [machine("n-1"), machine("n-2")])
 
-    assert once().placements == once().placements
+    assert make_plan().placements == make_plan().placements
 
 
 def test_best_effort_work_leaves_free_what_guarantees_may_claim():
-    """Otherwise each urgent start would wait until something had stopped for it."""
+    """Otherwise each urgent start would wait until a best-effort task had stopped."""
 
-    def result(ready, empty=2, **fields):
+    def result(prefers_on_demand, empty=2, **fields):
         guest = job("job-1", 2.0, waiting=20, **({"team": "guest", "rank": 0} | fields))
-        # Of the guarantees, 16 and 8 CPUs, 14 are in use: 10 may be claimed.
+        # Of the guaranteed 16 and 8 CPUs, 14 are in use, so 10 may still be claimed.
         views = [machine("n-0", [running(6.0)], cpus=6.0), machine("n-1", [running(8.0, team="u")])]
         views += [machine(f"n-{number + 2}") for number in range(empty)]
-        made = plan([guest], views, prefers_on_demand=ready)
-        return len(made.placements), [unplaced.count for unplaced in made.unplaced]
+        best_effort_plan = plan([guest], views, prefers_on_demand=prefers_on_demand)
+        return len(best_effort_plan.placements), [unplaced.count for unplaced in best_effort_plan.unplaced]
 
     assert result(True) == (3, [17]) and result(True, empty=1) == (0, [20])
-    # Where no machine is kept free; an overdue job; and work that is not best effort.
+    # No CPUs are left free where no capacity is kept for urgent starts, for an overdue job, and for work that
+    # is not best effort.
     assert result(False) == (8, [12])
     assert result(True, empty=1, is_overdue=True)[0] == 2
     assert result(True, rank=1) == (8, [12]) and result(True, team="t") == (8, [12])
--- a/spindleglade/backfill/test_urgency.py
+++ b/spindleglade/backfill/test_urgency.py
@@ -1,4 +1,4 @@
-"""Priorities and deadlines that jobs take over from those that need them."""
+"""Priorities and deadlines that jobs inherit from their dependents."""
 
 import time
 from datetime import timedelta
@@ -23,34 +23,36 @@
 
 
 @given(JOBS)
-def test_urgency_is_the_most_demanding_of_all_paths(drawn):
-    """Against a search of every path from a job to the ends of its pipelines. Some dependents named are
-    finished, and so are not among the jobs."""
+def test_urgency_is_the_most_demanding_of_all_paths(job_fields):
+    """Compares with a search of every path from a job to the ends of its pipelines. Some of the dependents
+    are not among the jobs, as if they were finished."""
     jobs = {}
-    for number, (rank, deadline, expected, steps) in enumerate(drawn):
+    for number, (rank, deadline, expected, dependent_offsets) in enumerate(job_fields):
         due = None if deadline is None else seconds(deadline)
-        jobs[str(number)] = ChainedJob(rank, due, seconds(expected), [str(number + step) for step in steps])
+        jobs[str(number)] = ChainedJob(
+            rank, due, seconds(expected), [str(number + step) for step in dependent_offsets]
+        )
 
-    def paths(name):
+    def paths_to_ends(name):
         yield [name]
-        for other in jobs[name].dependents:
-            if other in jobs:
-                for path in paths(other):
+        for dependent in jobs[name].dependents:
+            if dependent in jobs:
+                for path in paths_to_ends(dependent):
                     yield [name, *path]
 
-    for name, urgency in urgencies(jobs).items():
-        found = list(paths(name))
-        assert urgency.rank == max(jobs[path[-1]].rank for path in found)
+    for job_id, urgency in urgencies(jobs).items():
+        paths = list(paths_to_ends(job_id))
+        assert urgency.rank == max(jobs[path[-1]].rank for path in paths)
         deadlines = [
             jobs[path[-1]].deadline - sum((jobs[step].expected for step in path[1:]), timedelta(0))
-            for path in found
+            for path in paths
             if jobs[path[-1]].deadline is not None
         ]
         assert urgency.deadline == min(deadlines, default=None)
     assert urgencies(jobs).keys() == jobs.keys()
 
 
-def test_a_chain_of_thousands_is_walked_once():
+def test_a_pipeline_of_thousands_of_jobs_is_resolved_in_one_pass():
     size = 20_000
     jobs = {str(n): ChainedJob(1, None, seconds(1), [str(n + 1)]) for n in range(size - 1)}
     jobs[str(size - 1)] = ChainedJob(3, seconds(size), seconds(1), [])
@@ -59,7 +61,7 @@
     assert time.process_time() - began < 5
 
 
-def test_a_job_that_others_press_for_goes_first_within_its_priority_only():
+def test_an_urgent_job_goes_first_within_its_priority_only():
     jobs = [job("job-1", 8.0), job("job-2", 8.0, is_urgent=True), job("job-3", 8.0, rank=2)]
     result = plan(jobs, [machine("n-1"), machine("n-2")])
     assert started(result) == [("job-3", "n-1"), ("job-2", "n-2")]
