--- a/spindleglade/store/__init__.py
+++ b/spindleglade/store/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: its client, the rates it allows, and the replica that each controller keeps of it."""
+"""Access to the state service: its client, its rate limits, and the replica that each controller keeps."""
--- a/spindleglade/store/client.py
+++ b/spindleglade/store/client.py
@@ -1,7 +1,8 @@
 """Client of the state service, by its published protocol.
 
-Every call ends in one of three ways, and callers must tell them apart: a response; `NotAppliedError`, the
-request was certainly not carried out; `OutcomeUnknownError`, it may have been, or may still be.
+Every call ends in one of three ways, which callers must distinguish: a response, `NotAppliedError` if the
+request was certainly not carried out, or `OutcomeUnknownError` if it may have been, or may still be, carried
+out.
 """
 
 from collections.abc import Sequence
@@ -43,21 +44,22 @@
 )
 from spindleglade.store.rate_limits import RateLimits
 
-# Keys in one page of a listing.
+# The number of keys requested for one page of a listing.
 PAGE_SIZE = 1000
-# A page takes longer than other responses: its timeout is so many times theirs.
+# The timeout of a page is the timeout of other requests times this factor, because a page takes longer.
 LIST_TIMEOUT_FACTOR = 3
-# Bytes of a refusal's body that an error quotes.
+# The most bytes of a response's body that an error message quotes.
 MAX_QUOTED_BYTES = 200
-# A refusal of status 400 with these words in its body is for an expired lease, any other for the size.
-EXPIRED_LEASE_REFUSAL = b"no such lease"
+# A transaction refused with status 400 names an expired lease if the body contains this text. Otherwise the
+# transaction is too large.
+EXPIRED_LEASE_MESSAGE = b"no such lease"
 
 T = TypeVar("T")
 
 
-def _decode(operation: str, body: bytes, kind: type[T]) -> T:
+def _decode(operation: str, body: bytes, response_type: type[T]) -> T:
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=response_type)
     except msgspec.DecodeError as error:
         raise OutcomeUnknownError(f"malformed response: {error}", operation) from error
 
@@ -67,7 +69,7 @@
 
 
 class StateClient:
-    """Calls of the state service, kept to this controller's share of the service's rates."""
+    """Sends requests to the state service within this controller's share of the rate limits."""
 
     def __init__(
         self,
@@ -78,41 +80,42 @@
         controllers: int,
         timeout: timedelta,
     ) -> None:
-        """`timeout` bounds one request; `controllers` share the rates that `limits` allows."""
+        """`timeout` bounds one request. `controllers` is the number of controllers that share `limits`."""
         self._http = http
         self._address = address
         self._timeout = timeout
         self.limits = limits
         self._rate_limits = RateLimits(clock, limits, controllers)
-        # Whether a transaction was refused for its size: the smaller limit holds from then on.
-        self._size_refused = False
+        # Whether a transaction was refused for its size. From then on the smaller limit is used.
+        self._size_refusal_seen = False
 
     @property
     def value_bytes(self) -> int:
-        """The limit in force for values that exist already, in bytes.
+        """The limit in bytes for writing values that exist already.
 
-        It is the present one until the first refusal for size that this process sees, then the smaller one.
-        The limits fall only after every process runs a version that knows of them, so whoever reads a value
-        that was split by the smaller limit understands its ranges.
+        It is the present limit until this process sees the first refusal for size, then `limits.value_bytes`,
+        which follows from the smaller of the present and the announced limit. The limits fall only after all
+        processes run a version that knows of the fall, so every process that reads a value split under the
+        smaller limit understands its ranges.
         """
-        return self.limits.value_bytes if self._size_refused else self.limits.largest_value
+        return self.limits.value_bytes if self._size_refusal_seen else self.limits.largest_value
 
     @property
     def request_interval(self) -> timedelta:
-        """Time between two requests of one kind that keeps them to a third of this controller's share."""
+        """Time between two requests of one kind that limits them to a third of this controller's share."""
         return self._rate_limits.request_interval
 
     @property
     def spare_writes(self) -> int:
-        """Writes that may be made now and still leave room for more urgent ones."""
+        """The number of writes that may be made now while leaving a reserve for urgent requests."""
         return self._rate_limits.spare_writes
 
     def pause_ordinary_requests(self, duration: timedelta) -> None:
-        """Makes ordinary requests wait for so long, so that the renewal of a lease goes before them."""
+        """Delays ordinary requests for this duration, to give priority to the renewal of a lease."""
         self._rate_limits.pause_ordinary_requests(duration)
 
     async def get(self, key: str) -> Entry | None:
-        """The entry of a key, None if there is none."""
+        """Reads a key. Returns None if it does not exist."""
         operation = f"get {key}"
         self._rate_limits.spend_request()
         response = await self._send(operation, "GET", f"/kv/{key}")
@@ -122,10 +125,10 @@
         return _decode(operation, response.body, Entry)
 
     async def read_all(self, prefix: str) -> Listing:
-        """All keys with the prefix.
+        """Lists all keys with the prefix.
 
-        Pages are read one after the other, so later ones may be newer than the revision returned, which is
-        the first page's: following the changes from there misses nothing.
+        Pages are read one after the other. The revision returned is that of the first page, and later pages
+        may be newer, so a watch from that revision misses no change.
         """
         entries: list[Entry] = []
         first_revision, pages, has_next = 0, 0, True
@@ -139,7 +142,7 @@
         return Listing(entries, first_revision, pages)
 
     async def _read_page(self, prefix: str, since: str | None) -> ListResponse:
-        """The page of keys after `since`, or the first one."""
+        """Reads the page of keys that follow the key `since`, or the first page if it is None."""
         operation = f"list {prefix}"
         await self._rate_limits.wait_for_listing()
         path = f"/kv?starts={prefix}&page={PAGE_SIZE}" + (f"&since={since}" if since else "")
@@ -152,8 +155,9 @@
     ) -> Committed | ConditionFailed:
         """Carries out all writes if all conditions hold, and none otherwise.
 
-        An urgent transaction is sent at once, an ordinary one when the rates allow it. Raises
-        LeaseExpiredError if a write names a lease that has expired, and ValueTooLargeError.
+        An urgent transaction is sent at once, an ordinary one when the rate limits allow it. Raises
+        LeaseExpiredError if a write names an expired lease, and ValueTooLargeError if the transaction or one
+        of its values exceeds a size limit.
         """
         if urgent:
             self._rate_limits.spend_transaction(len(writes))
@@ -166,20 +170,20 @@
         if response.status == 409:
             conflict = _decode(operation, response.body, ConflictResponse)
             return ConditionFailed(frozenset(conflict.failed), conflict.revision)
-        raise self._refused_transaction(operation, response)
+        raise self._transaction_error(operation, response)
 
-    def _refused_transaction(self, operation: str, response: ClientResponse) -> StoreError:
-        """The error for a transaction that was neither carried out nor in conflict."""
+    def _transaction_error(self, operation: str, response: ClientResponse) -> StoreError:
+        """The error for a transaction that failed for another reason than its conditions."""
         reason = f"refused: {response.body[:MAX_QUOTED_BYTES]!r}"
         if response.status != 400:
             return NotAppliedError(reason, operation, response.status)
-        if EXPIRED_LEASE_REFUSAL in response.body:
+        if EXPIRED_LEASE_MESSAGE in response.body:
             return LeaseExpiredError(operation=operation, status=response.status)
-        self._size_refused = True
+        self._size_refusal_seen = True
         return ValueTooLargeError(reason, operation, response.status)
 
     async def grant_lease(self, ttl: timedelta) -> int:
-        """Creates a lease that expires unless it is renewed within `ttl`; returns its number."""
+        """Creates a lease that expires unless it is renewed within `ttl`. Returns the lease's number."""
         operation = "grant lease"
         self._rate_limits.spend_request()
         response = await self._send(operation, "POST", "/leases", LeaseRequest(_milliseconds(ttl)))
@@ -187,7 +191,7 @@
         return _decode(operation, response.body, LeaseResponse).lease
 
     async def keep_alive(self, lease: int) -> None:
-        """Renews a lease; raises LeaseExpiredError if it has expired."""
+        """Renews a lease. Raises LeaseExpiredError if it has expired."""
         operation = f"keep alive lease {lease}"
         self._rate_limits.spend_request()
         response = await self._send(operation, "POST", f"/leases/{lease}/touch", {})
@@ -196,15 +200,15 @@
         _require_ok(operation, response)
 
     async def revoke_lease(self, lease: int) -> None:
-        """Ends a lease, which removes its keys."""
+        """Ends a lease, which removes the keys that were put with it."""
         self._rate_limits.spend_request()
         await self._send(f"revoke lease {lease}", "DELETE", f"/leases/{lease}")
 
     async def watch(self, prefix: str, since: int, max_wait: timedelta) -> WatchResult:
-        """The changes of keys with the prefix after the revision `since`.
+        """Returns the changes of keys with the prefix after the revision `since`.
 
-        If there are none yet, the service answers with the first, or after `max_wait` with none. Raises
-        RevisionCompactedError if the service no longer keeps them.
+        If there are none yet, the service responds when the first change occurs, or after `max_wait` with an
+        empty list. Raises RevisionCompactedError if the service no longer keeps these changes.
         """
         operation = f"watch {prefix} since {since}"
         self._rate_limits.spend_request()
@@ -219,7 +223,7 @@
     async def _send(
         self, operation: str, method: str, path: str, body: Any = None, timeout: timedelta | None = None
     ) -> ClientResponse:
-        """Sends a request; raises unless it got a response other than 429 and 503."""
+        """Sends a request. Raises an error if there is no response, or one with status 429 or 503."""
         encoded = None if body is None else msgspec.json.encode(body)
         try:
             response = await self._http.request(
--- a/spindleglade/store/messages.py
+++ b/spindleglade/store/messages.py
@@ -1,6 +1,6 @@
-"""Messages of the state service's protocol, and what the client's calls return.
+"""Messages of the state service's protocol, and the results of the client's calls.
 
-Fields go by the field's terms; `msgspec.field(name=...)` gives the names on the wire.
+`msgspec.field(name=...)` gives the name on the wire where it differs from the attribute's name.
 """
 
 from typing import Any, NamedTuple
@@ -26,7 +26,7 @@
 
 
 class ListResponse(msgspec.Struct):
-    """One page of the keys with a prefix."""
+    """One page of a listing of the keys with a prefix."""
 
     entries: list[Entry]
     revision: int = msgspec.field(name="turn")
@@ -41,33 +41,33 @@
 
 
 class CommitResponse(msgspec.Struct):
-    """A transaction was carried out, as this revision of the store."""
+    """A transaction was committed at this revision of the store."""
 
     revision: int = msgspec.field(name="turn", default=0)
 
 
 class ConflictResponse(msgspec.Struct):
-    """A transaction was not carried out: the conditions on these keys did not hold."""
+    """A transaction was not committed, because the conditions on the keys in `failed` did not hold."""
 
     failed: list[str] = []
     revision: int = msgspec.field(name="turn", default=0)
 
 
 class LeaseResponse(msgspec.Struct):
-    """The number of a lease that was granted."""
+    """The number of a granted lease."""
 
     lease: int = msgspec.field(name="hold")
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """Requires that a key last changed at this revision; 0 requires that it does not exist."""
+    """Requires that a key last changed at `mod_revision`, or does not exist if that is 0."""
 
     key: str = msgspec.field(name="k")
     mod_revision: int = msgspec.field(name="mark")
 
 
 class Put(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Sets a key to a value; with a lease, the key is removed when the lease expires."""
+    """Sets a key to a value. If a lease is given, the key is removed when the lease ends."""
 
     key: str = msgspec.field(name="set")
     value: msgspec.Raw = msgspec.field(name="v")
@@ -81,37 +81,37 @@
 
 
 class TransactionRequest(msgspec.Struct):
-    """Carries out all writes if all conditions hold, and none otherwise."""
+    """A transaction, which carries out all writes if all conditions hold, and none otherwise."""
 
     conditions: list[Condition] = msgspec.field(name="when")
     writes: list[Put | Delete] | list[Any]
 
 
 class LeaseRequest(msgspec.Struct):
-    """Asks for a lease that expires unless it is renewed within `ttl_ms` milliseconds."""
+    """Requests a lease that expires unless it is renewed within `ttl_ms` milliseconds."""
 
     ttl_ms: int
 
 
 class Committed(NamedTuple):
-    """All conditions held, and all writes were carried out as this revision."""
+    """All conditions held, and all writes were committed at this revision."""
 
     revision: int
 
 
 class ConditionFailed(NamedTuple):
-    """The conditions on these keys did not hold; nothing was changed."""
+    """The conditions on the keys in `failed` did not hold, and nothing was changed."""
 
     failed: frozenset[str]
     revision: int
 
 
 class Listing(NamedTuple):
-    """All keys with a prefix, and the revision of the first page they were read in."""
+    """All keys with a prefix, and the revision of the first page of the listing."""
 
     entries: list[Entry]
     revision: int
-    # Pages that it was read in, one after the other.
+    # The number of pages, which are read one after the other.
     pages: int = 1
 
 
@@ -123,5 +123,5 @@
 
 
 def encode_value(value: Any) -> msgspec.Raw:
-    """A value as it is stored: JSON."""
+    """Encodes a value as JSON, the form in which it is stored."""
     return msgspec.Raw(msgspec.json.encode(value))
--- a/spindleglade/store/replica.py
+++ b/spindleglade/store/replica.py
@@ -1,9 +1,10 @@
-"""A controller's copy of the keys in the store, kept by watch.
+"""A controller's replica of the keys in the store, kept up to date by a watch.
 
-The copy is only ever behind the store, never wrong. `Replica.catch_up` makes it current: it sends a watch
-that is answered at once, one for all callers who wait by then. Changes arrive both from the long watch and
-from catch-ups; each response holds every change after a revision that the copy already had, so applying only
-what is newer than the copy's own revision neither misses a change nor repeats one.
+The replica may be behind the store, but it never holds anything that the store did not hold.
+`Replica.catch_up` makes it current: it sends a watch that the store answers at once, one request for all
+callers waiting by then. Changes arrive from the long watch and from catch-ups. Each response holds every
+change after a revision that the replica had already reached, so applying only changes newer than the
+replica's revision neither misses nor repeats a change.
 """
 
 import logging
@@ -27,15 +28,15 @@
 
 log = logging.getLogger("spindleglade.store")
 
-# How long after a failed watch or listing the next one is sent.
+# Time between a failed watch or listing and the next one.
 WATCH_RETRY_DELAY = seconds(0.5)
 
 
 class Subscriber(Protocol):
-    """Called in the reactor's thread with every change of a key, in the order of that key's revisions."""
+    """Called in the reactor's thread with every change. Changes of one key come in the order of revisions."""
 
     def __call__(self, key: str, value: bytes | None, mod_revision: int, /) -> None:
-        """`value` is the key's new value, None if it was removed. What this raises is logged, no more."""
+        """`value` is the key's new value, None if it was removed. Exceptions are logged and then ignored."""
 
 
 def _no_interval() -> timedelta:
@@ -43,7 +44,7 @@
 
 
 class Replica:
-    """Follows all keys with a prefix, and hands their values to its subscribers."""
+    """Keeps track of all keys with a prefix, and passes their values to its subscribers."""
 
     def __init__(
         self,
@@ -54,42 +55,48 @@
         catch_up_interval: timedelta,
         request_interval: Callable[[], timedelta] = _no_interval,
     ) -> None:
-        """`max_watch_wait` bounds how long a watch without changes stays open; `catch_up_interval` how long
-        the replica stays without a catch-up; `request_interval` gives the time between two watches, and
-        between two catch-ups."""
+        """Creates an empty replica of the keys with `prefix`.
+
+        `max_watch_wait` bounds how long a watch without changes stays open. A catch-up is made when none has
+        succeeded for `catch_up_interval`. `request_interval` returns the time to keep between two watches,
+        and between two catch-ups.
+        """
         self._client = client
         self._clock = clock
         self._prefix = prefix
         self._max_watch_wait = max_watch_wait
         self._catch_up_interval = catch_up_interval
-        # Changes and callers of `catch_up` come many a second: a request for each would exceed the rate, and
-        # then nobody could be answered at all.
+        # Changes and calls of `catch_up` come many times a second. One request for each would exceed the rate
+        # limit, and then all catch-ups would fail.
         self._request_interval = request_interval
         self._catch_up_started_at: timedelta | None = None
         self._subscribers: list[Subscriber] = []
-        # Who waits for the next catch-up; those waiting for the one under way are not among them.
+        # The callers of `catch_up` that wait for the next catch-up, without those served by the one under
+        # way.
         self._waiters: list[Deferred[None]] = []
         self._catching_up = False
-        # Catch-ups that failed since one succeeded.
-        self._failed_catch_ups = 0
+        # The number of catch-ups that have failed since the last one that succeeded.
+        self._consecutive_failed_catch_ups = 0
+        # The revision of the store up to which all changes have been applied.
         self.revision = 0
+        # Whether all keys have been listed. False again after the replica's revision was compacted.
         self.loaded = False
-        # The revision at which each key last changed; the values are left to the subscribers.
+        # The revision at which each key last changed. Only subscribers keep the values.
         self.mod_revisions: dict[str, int] = {}
-        # When the latest catch-up that succeeded was started; None before the first.
+        # When the latest successful catch-up or load was started; None before the first.
         self.current_as_of: timedelta | None = None
 
     def subscribe(self, on_change: Subscriber) -> None:
-        """Calls `on_change` with every change from now on."""
+        """Registers a callback for all changes from now on."""
         self._subscribers.append(on_change)
 
     def start(self) -> None:
-        """Begins to follow the store, for as long as the process runs."""
-        run_forever(self._clock, self._follow, "watch")
+        """Starts the watch and the periodic catch-ups, which run until the process ends."""
+        run_forever(self._clock, self._watch_continuously, "watch")
         run_forever(self._clock, self._catch_up_periodically, "periodic catch-up")
 
     def apply(self, revision: int, changes: list[Change]) -> None:
-        """Applies the changes that are newer than the replica, which is then at `revision` or newer."""
+        """Applies the changes newer than the replica's revision, which then becomes at least `revision`."""
         for change in changes:
             if change.mod_revision <= self.revision:
                 continue
@@ -100,23 +107,28 @@
         self.revision = max(self.revision, revision)
 
     def observe(self, key: str, value: bytes, mod_revision: int) -> None:
-        """Applies a value that the store is known to hold before the watch reports it: this controller wrote
-        it, or a peer has read it. Only for keys that are never removed."""
+        """Applies a value before the watch reports it.
+
+        The store must be known to hold the value: this controller wrote it, or a peer has read it. Only for
+        keys that are never removed.
+        """
         self._apply_if_newer(key, value, mod_revision)
 
     def catch_up(self) -> Deferred[None]:
-        """Fires once the replica is at least as new as the store was at this call; fails with
-        StaleReplicaError."""
+        """Returns a Deferred that fires once the replica is at least as new as the store was at this call.
+
+        It fails with StaleReplicaError.
+        """
         waiter: Deferred[None] = Deferred()
         self._waiters.append(waiter)
         if not self._catching_up:
             run_in_background(self._run_catch_ups(), "catch-up")
         return waiter
 
-    async def _follow(self) -> None:
+    async def _watch_continuously(self) -> None:
         while True:
             try:
-                await self._follow_once()
+                await self._watch_once()
             except RevisionCompactedError:
                 log.info("replica revision compacted revision=%d", self.revision)
                 self.loaded = False
@@ -130,8 +142,8 @@
                 )
                 await sleep(self._clock, WATCH_RETRY_DELAY)
 
-    async def _follow_once(self) -> None:
-        """Sends one watch and applies its changes."""
+    async def _watch_once(self) -> None:
+        """Loads the replica if necessary, then sends one watch and applies its changes."""
         if not self.loaded:
             await self._load()
         revision, changes = await self._client.watch(self._prefix, self.revision, self._max_watch_wait)
@@ -141,16 +153,16 @@
             await sleep(self._clock, interval)
 
     async def _load(self) -> None:
-        """Reads all keys."""
+        """Lists all keys and applies the listing."""
         started_at = self._clock.now()
         listing = await self._client.read_all(self._prefix)
-        latest = WatchResult(listing.revision, [])
+        updates = WatchResult(listing.revision, [])
         if listing.pages > 1:
-            # The pages were read at different moments: of a value that was split meanwhile, the first page
-            # may lack the new ranges, and a later one no longer have their tasks in the old value. Nothing is
-            # applied before both are known.
-            latest = await self._client.watch(self._prefix, listing.revision, ZERO)
-        revision, changes = latest
+            # The pages were read at different times. If a value was split in between, an earlier page may
+            # lack the new overflow ranges, while a later page shows the old value without their tasks.
+            # Therefore nothing is applied before the changes since the first page have been read as well.
+            updates = await self._client.watch(self._prefix, listing.revision, ZERO)
+        revision, changes = updates
         self._apply_listing(listing)
         self.apply(revision, changes)
         self.loaded = True
@@ -159,8 +171,9 @@
 
     def _apply_listing(self, listing: Listing) -> None:
         for entry in listing.entries:
-            # A catch-up may have overtaken the listing. What the listing shows from before the replica's own
-            # revision is known already, or was removed since: applied, such a key would never go again.
+            # A catch-up may have overtaken the listing. An entry that is not newer than the replica's
+            # revision is already known, or the key was removed since. Applied, a removed key would stay for
+            # ever, because its removal is not reported again.
             if entry.mod_revision > self.revision:
                 self._apply_if_newer(entry.key, bytes(entry.value), entry.mod_revision)
         present = {entry.key for entry in listing.entries}
@@ -174,7 +187,7 @@
         self.revision = max(self.revision, listing.revision)
 
     def _apply_if_newer(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        # A listing or `observe` may have shown the key newer than the revision that is followed from.
+        # A listing or `observe` may already have applied a change of this key newer than `self.revision`.
         if mod_revision > self.mod_revisions.get(key, 0):
             self._apply_change(key, value, mod_revision)
 
@@ -187,7 +200,7 @@
             try:
                 on_change(key, value, mod_revision)
             except Exception:
-                # One subscriber's error with one key must not end the watch, which feeds all others.
+                # An error of one subscriber must not end the watch, on which all subscribers depend.
                 log.exception("subscriber failed key=%s revision=%d", key, mod_revision)
 
     async def _catch_up_periodically(self) -> None:
@@ -202,16 +215,16 @@
         try:
             await self._serve_waiters()
         finally:
-            # Else no catch-up would ever begin again.
+            # While this is set, `catch_up` starts no new catch-up.
             self._catching_up = False
 
     async def _serve_waiters(self) -> None:
         while self._waiters:
             await self._wait_for_catch_up_interval()
-            served, self._waiters = self._waiters, []
+            callers, self._waiters = self._waiters, []
             reason = await self._catch_up_once()
             self._log_catch_up(reason)
-            for waiter in served:
+            for waiter in callers:
                 if reason is None:
                     waiter.callback(None)
                 else:
@@ -226,7 +239,7 @@
             await sleep(self._clock, remaining)
 
     async def _catch_up_once(self) -> str | None:
-        """Why the catch-up failed; None if it succeeded."""
+        """Makes one catch-up. Returns the reason why it failed, or None if it succeeded."""
         self._catch_up_started_at = started_at = self._clock.now()
         if not self.loaded:
             return "replica not loaded yet"
@@ -240,7 +253,7 @@
         except (NotAppliedError, OutcomeUnknownError) as error:
             return str(error)
         except Exception as error:
-            # Its waiters must be answered, and the next catch-up must still begin.
+            # Reported as a failure, so that the callers get a result and the next catch-up can start.
             log.exception("catch-up failed unexpectedly revision=%d", self.revision)
             return repr(error)
         return None
@@ -250,9 +263,13 @@
             self.current_as_of = started_at
 
     def _log_catch_up(self, reason: str | None) -> None:
-        """Logs the first that fails, and the first that succeeds after it; they come many times a second."""
-        if reason is None and self._failed_catch_ups:
-            log.info("catch-ups succeed again revision=%d failed=%d", self.revision, self._failed_catch_ups)
-        elif reason is not None and not self._failed_catch_ups:
+        """Logs the first failure and the next success only, because catch-ups come many times a second."""
+        if reason is None and self._consecutive_failed_catch_ups:
+            log.info(
+                "catch-ups succeed again revision=%d failed=%d",
+                self.revision,
+                self._consecutive_failed_catch_ups,
+            )
+        elif reason is not None and not self._consecutive_failed_catch_ups:
             log.info("catch-up failed revision=%d loaded=%s reason=%s", self.revision, self.loaded, reason)
-        self._failed_catch_ups = 0 if reason is None else self._failed_catch_ups + 1
+        self._consecutive_failed_catch_ups = 0 if reason is None else self._consecutive_failed_catch_ups + 1
--- a/spindleglade/store/token_bucket.py
+++ b/spindleglade/store/token_bucket.py
@@ -1,8 +1,9 @@
-"""A controller's share of one of the rates that a service allows.
+"""Token bucket for a controller's share of one rate limit of a service.
 
-The limits hold for all controllers together. A controller cannot see what the others use, so each keeps to a
-fixed share; urgent requests (leases, submissions, cancellations, catch-ups for users) may overdraw it, since
-the burst that the service allows covers them, and ordinary ones then wait the longer.
+The limit holds for all controllers together. A controller cannot see what its peers use, so each controller
+keeps to a fixed share. Urgent requests (leases, submissions, cancellations, catch-ups for users) may put the
+bucket in debt, because the burst that the service allows covers them. Ordinary requests wait until the debt
+is paid off.
 """
 
 from datetime import timedelta
@@ -11,10 +12,10 @@
 
 
 class TokenBucket:
-    """Fills by `rate` tokens a second up to `burst`; may be in debt."""
+    """Gains `rate` tokens per second, up to `burst`. The number of tokens may be negative."""
 
     def __init__(self, clock: Clock, rate: float, burst: float) -> None:
-        """The bucket is full at first."""
+        """Creates a bucket with `burst` tokens."""
         self._clock = clock
         self._rate = rate
         self._burst = burst
@@ -22,7 +23,7 @@
         self._refilled_at = clock.now()
 
     def set_rate(self, rate: float, burst: float) -> None:
-        """Changes rate and burst from now on; what was saved up beyond the new burst is lost."""
+        """Sets the rate and the burst from now on. Tokens beyond the new burst are lost."""
         self._refill()
         self._rate = rate
         self._burst = burst
@@ -30,17 +31,17 @@
 
     @property
     def spare(self) -> float:
-        """Tokens that may be spent now and leave half a burst for requests that others wait for."""
+        """Tokens that may be spent now while leaving half a burst for urgent requests; may be negative."""
         self._refill()
         return self._tokens - self._burst / 2
 
     def spend(self, amount: float = 1.0) -> None:
-        """Takes tokens for an urgent request, to be sent at once; the debt grows to one burst at most."""
+        """Takes tokens for an urgent request, which is sent at once. The debt is limited to one burst."""
         self._refill()
         self._tokens = max(-self._burst, self._tokens - amount)
 
     def reserve(self, amount: float = 1.0) -> timedelta:
-        """Takes tokens for an ordinary request, which is to be sent only after the delay returned."""
+        """Takes tokens for an ordinary request, and returns the delay after which it may be sent."""
         self._refill()
         self._tokens -= amount
         return timedelta(seconds=max(0.0, -self._tokens / self._rate))
--- a/spindleglade/submissions/__init__.py
+++ b/spindleglade/submissions/__init__.py
@@ -1,1 +1,1 @@
-"""Users: the interface for submissions, status and cancellation, and the records of jobs."""
+"""The users' interface for submission, status and cancellation of jobs, and the records of jobs."""
--- a/spindleglade/submissions/acceptance.py
+++ b/spindleglade/submissions/acceptance.py
@@ -1,4 +1,4 @@
-"""The writes that accept a job: its record, and its dependencies if they do not fit into the record."""
+"""The writes that accept a job: its record, and lists of dependencies that do not fit into the record."""
 
 import msgspec
 
@@ -7,24 +7,27 @@
 from spindleglade.submissions.errors import TooManyDependenciesError
 from spindleglade.submissions.records import JobRecord, dependency_key, job_key
 
-# Of the 64 KiB that a transaction may have, the bytes for its values; the rest is for keys and conditions.
+# The most bytes that the values of one transaction may have. The state service accepts 64 KiB per
+# transaction; the difference is left for keys and conditions.
 MAX_TRANSACTION_VALUE_BYTES = 56 * 1024
 
-# Bytes in JSON: two quotes and a comma for each text in a list, and the brackets around them.
-_BYTES_AROUND_TEXT = 3
-_BYTES_AROUND_LIST = 2
+# Bytes that JSON adds to a list of strings: two quotes and a comma for each item, and the two brackets.
+_JSON_BYTES_PER_LIST_ITEM = 3
+_JSON_BYTES_PER_LIST = 2
 
 
 def acceptance_writes(record: JobRecord, limits: StateLimits) -> list[Put]:
-    """The writes that accept a job, the record first, for one transaction: no job is seen incomplete.
+    """Returns the writes that accept a job, with its record first.
 
-    Dependencies that do not fit into the record go under keys of their own. Raises TooManyDependenciesError.
+    They must be committed in one transaction, so that no controller sees an incomplete job. If the record
+    with its dependencies exceeds the limit on values, the dependencies are stored as lists under keys of
+    their own. Raises TooManyDependenciesError if the writes do not fit into one transaction.
     """
     job = record.spec.id
     value = encode_value(record)
     if not record.dependencies or len(value) <= limits.value_bytes:
         return [Put(job_key(job), value)]
-    lists = split_list(record.dependencies, limits.value_bytes)
+    lists = split_dependencies(record.dependencies, limits.value_bytes)
     without_dependencies = msgspec.structs.replace(record, dependencies=[], dependency_keys=len(lists))
     writes = [Put(job_key(job), encode_value(without_dependencies))]
     for number, names in enumerate(lists):
@@ -35,15 +38,15 @@
     return writes
 
 
-def split_list(names: list[str], max_bytes: int) -> list[list[str]]:
-    """The names in order, in as few lists as possible of at most `max_bytes` each when encoded."""
+def split_dependencies(names: list[str], max_bytes: int) -> list[list[str]]:
+    """Splits job ids, in order, into as few lists as possible that take at most `max_bytes` each in JSON."""
     lists: list[list[str]] = []
-    size = max_bytes
+    encoded_bytes = max_bytes
     for name in names:
-        name_bytes = len(name) + _BYTES_AROUND_TEXT
-        if size + name_bytes > max_bytes:
+        name_bytes = len(name) + _JSON_BYTES_PER_LIST_ITEM
+        if encoded_bytes + name_bytes > max_bytes:
             lists.append([])
-            size = _BYTES_AROUND_LIST
+            encoded_bytes = _JSON_BYTES_PER_LIST
         lists[-1].append(name)
-        size += name_bytes
+        encoded_bytes += name_bytes
     return lists
--- a/spindleglade/submissions/api.py
+++ b/spindleglade/submissions/api.py
@@ -1,8 +1,8 @@
-"""The HTTP interface to users: POST /submissions, GET /submissions/{id}, its cancellation, and /ready.
+"""The HTTP interface for users: submission, status and cancellation of jobs, and /ready.
 
-Two promises hold for all of it. A job is called accepted, done or cancelled only once the state service holds
-it so; and no answer is older than what any controller has told before, which is why a state that can still
-change is read after a catch-up of the replica that began after the request came.
+It gives two guarantees. A job is reported as accepted, done or cancelled only after the state service has
+committed that state. No response shows an older state than an earlier response of any controller: a state
+that can still change is read only after a catch-up of the replica that began after the request arrived.
 """
 
 import re
@@ -16,18 +16,18 @@
 from spindleglade.submissions.cancellation import JobCanceller
 from spindleglade.submissions.responses import NO_SUCH_JOB, READY, RETRY_LATER, error_response
 from spindleglade.submissions.status import StatusReader
-from spindleglade.submissions.submission import JobSubmitter, MachineShapes
+from spindleglade.submissions.submission import GetMachineShapes, JobSubmitter
 from spindleglade.submissions.views import JobViews
 
 _JOB_PATH = re.compile(r"\A/submissions/([^/]+)(/abort)?\Z")
 _JOB_ID = re.compile(r"\Ajob-[0-9]{1,60}\Z")
 
-# Sends a request (method, path, body) on to another controller; None if none answered.
+# Forwards a request (method, path, body) to a peer. Returns None if no peer answered.
 ForwardRequest = Callable[[str, str, bytes], Awaitable[HttpResponse | None]]
 
 
 class UserApi:
-    """Routes the requests of users, and forwards those that this controller cannot answer now."""
+    """Routes requests of users, and forwards to a peer those that this controller cannot serve at present."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         replica: Replica,
         views: JobViews,
         teams: dict[str, Team],
-        shapes: MachineShapes,
+        shapes: GetMachineShapes,
         forward: ForwardRequest,
         utc: Callable[[], datetime],
     ) -> None:
@@ -45,7 +45,7 @@
         self._canceller = JobCanceller(client, replica, self._status)
 
     async def handle(self, method: str, path: str, body: bytes, may_forward: bool = True) -> HttpResponse:
-        """Answers a request. `may_forward` is false for one that a peer forwarded: that happens only once."""
+        """Handles a request. `may_forward` is false if a peer forwarded it, as it is forwarded only once."""
         if path == "/ready":
             return self._ready(method)
         if path == "/submissions":
@@ -57,8 +57,9 @@
         return response
 
     def _ready(self, method: str) -> HttpResponse:
-        # A controller is ready once it serves, even if it must answer 503. In an outage that all controllers
-        # share, calling them unready would cost the users their connections for nothing.
+        # A controller is ready as soon as it accepts requests, even while it responds to them with status
+        # 503. If an outage affects all controllers, reporting them as not ready would drop the connections of
+        # users without helping anyone.
         return READY if method in ("GET", "HEAD") else error_response(405, "use GET")
 
     async def _submit(self, method: str, body: bytes) -> HttpResponse:
@@ -69,7 +70,7 @@
         return await self._submitter.submit(body)
 
     async def _handle_job(self, method: str, path: str) -> HttpResponse:
-        """Answers a request about one job: its status or its cancellation."""
+        """Handles a status request or a cancellation for one job."""
         match = _JOB_PATH.match(path)
         if match is None:
             return error_response(404, "no such path")
--- a/spindleglade/submissions/cancellation.py
+++ b/spindleglade/submissions/cancellation.py
@@ -1,4 +1,4 @@
-"""The cancellation of a job by its user."""
+"""Cancellation of a job at the request of a user."""
 
 import logging
 
@@ -19,12 +19,12 @@
 
 log = logging.getLogger("spindleglade.submissions")
 
-# How often a cancellation is tried while others change the job's record.
-MAX_TRIES = 4
+# How often the write of a cancellation is tried while the job's record keeps changing.
+MAX_CANCELLATION_TRIES = 4
 
 
 class JobCanceller:
-    """Cancels jobs. A job is called cancelled only once the state service holds it as such."""
+    """Cancels jobs. A job is reported as cancelled only after its cancelled record is committed."""
 
     def __init__(self, client: StateClient, replica: Replica, status: StatusReader) -> None:
         self._client = client
@@ -32,15 +32,19 @@
         self._status = status
 
     async def cancel(self, job: str) -> HttpResponse:
-        """Answers a cancellation."""
-        for _ in range(MAX_TRIES):
+        """Cancels a job and returns the response for its user."""
+        for _ in range(MAX_CANCELLATION_TRIES):
             response = await self._try_to_cancel(job)
             if response is not None:
                 return response
         return RETRY_LATER
 
     async def _try_to_cancel(self, job: str) -> HttpResponse | None:
-        """The answer, or None if the record has changed meanwhile or must be made smaller."""
+        """Tries once to cancel the job.
+
+        Returns the response, or None to try again: the record has changed meanwhile, or a shorter one is
+        needed.
+        """
         try:
             view = await self._status.current_view(job)
         except StaleReplicaError:
@@ -49,27 +53,29 @@
             return NO_SUCH_JOB
         if view.is_final:
             return job_response(200, job, view.state)
-        return await self._write(job, view.record)
+        return await self._write_cancelled_record(job, view.record)
 
-    async def _write(self, job: str, record: JobRecord) -> HttpResponse | None:
+    async def _write_cancelled_record(self, job: str, record: JobRecord) -> HttpResponse | None:
+        """Writes the job's record as cancelled. Returns the response, or None to try again."""
         key = job_key(job)
         cancelled = final_record(record, JobState.CANCELLED, self._client.value_bytes)
-        unchanged = Condition(key, self._replica.mod_revisions.get(key, 0))
+        record_unchanged = Condition(key, self._replica.mod_revisions.get(key, 0))
         value = encode_value(cancelled)
         try:
-            result = await self._client.compare_and_swap([unchanged], [Put(key, value)], urgent=True)
+            result = await self._client.compare_and_swap([record_unchanged], [Put(key, value)], urgent=True)
         except ValueTooLargeError as error:
             log.info("cancellation too large job=%s reason=%s", job, error)
-            smaller = final_record(record, JobState.CANCELLED, self._client.value_bytes)
-            # The same value would be refused again.
-            return RETRY_LATER if smaller == cancelled else None
+            shortened = final_record(record, JobState.CANCELLED, self._client.value_bytes)
+            # A retry helps only if the record can be shortened: the same value would be refused again.
+            return RETRY_LATER if shortened == cancelled else None
         except (NotAppliedError, OutcomeUnknownError) as error:
             log.info("cancellation not committed job=%s reason=%s", job, error)
             return RETRY_LATER
         if not isinstance(result, Committed):
             return None
-        # Before the user is answered: whatever this controller tells others from now on must include it, and
-        # if it leads, the tasks end without waiting for the watch, which an outage may delay.
+        # Applied before the response is sent, because everything that this controller tells its peers from
+        # now on must include the cancellation. A leader also stops the tasks without waiting for the watch,
+        # which an outage of the state service may delay.
         self._replica.observe(key, value, result.revision)
         log.info("job cancelled job=%s", job)
         return job_response(200, job, JobStatus.CANCELLED)
--- a/spindleglade/submissions/dependencies.py
+++ b/spindleglade/submissions/dependencies.py
@@ -1,13 +1,13 @@
-"""The dependency graph of jobs: which jobs wait for others, and which are cancelled through one.
+"""The dependency graph of jobs: which jobs wait, and which are cancelled through an ancestor.
 
-Nothing of this is stored. It is derived from the jobs' records, so every controller that has read the same
-records gives the same answers. A job is released once the records of all its dependencies are done; it is
-cancelled once the record of any ancestor is cancelled. A record holds only one of the two, and a dependent
-starts only after its dependencies are done: a job that is cancelled through an ancestor can have no task, and
-a released job can never be cancelled that way.
+The graph is not stored. It is derived from the job records, so all controllers that have read the same
+records reach the same result. A job is released once the records of all its dependencies say done. It is
+cancelled once the record of any ancestor says cancelled. The two states are final and exclude each other, and
+a job starts only after all its dependencies are done. Therefore a job cancelled through an ancestor has no
+tasks, and a released job is never cancelled through an ancestor.
 
-Records may come in any order. Each edge is followed a bounded number of times over the life of the graph, and
-no walk is recursive.
+Records may be read in any order. Each edge is followed a bounded number of times over the life of the graph,
+and traversal is iterative, because a long chain of jobs would exceed the recursion limit.
 """
 
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
 
 
 class DependencyOutcome(Enum):
-    """The state in a job's own record, as far as its dependents are concerned."""
+    """The state in a job's own record that decides whether its dependents are released or cancelled."""
 
     OPEN = "open"
     DONE = "done"
@@ -23,56 +23,61 @@
 
 
 class DependencyGraph:
-    """Built from the outcome in every job record and the dependencies of every open job."""
+    """Tracks which jobs are released or cancelled, from the jobs' outcomes and dependencies."""
 
     def __init__(self) -> None:
         self._outcomes: dict[str, DependencyOutcome] = {}
-        # For each job that is not released, the dependencies that are not known to be done. The set is empty
-        # for a job whose dependencies have not been read completely.
-        self._unfinished: dict[str, set[str]] = {}
-        # The unreleased jobs, by each dependency that is not known to be done.
+        # For each open job that is not released, its dependencies not known to be done. The set is empty for
+        # a job with dependencies that have not all been read.
+        self._unfinished_dependencies: dict[str, set[str]] = {}
+        # For each dependency not known to be done, the unreleased jobs that depend on it directly.
         self._dependents: dict[str, list[str]] = {}
+        # The jobs cancelled through an ancestor.
         self._cancelled: set[str] = set()
 
     def is_released(self, job: str) -> bool:
         """Whether every dependency of the job is done."""
-        return job not in self._unfinished and job not in self._cancelled
+        return job not in self._unfinished_dependencies and job not in self._cancelled
 
     def is_cancelled(self, job: str) -> bool:
         """Whether the job is cancelled through an ancestor."""
         return job in self._cancelled
 
     def has_dependents(self, job: str) -> bool:
-        """Whether other jobs wait for this one."""
+        """Whether any unreleased job depends directly on this one."""
         return job in self._dependents
 
     def dependents(self, job: str) -> tuple[str, ...]:
-        """The jobs that wait for this one directly."""
+        """The unreleased jobs that depend directly on this one."""
         return tuple(self._dependents.get(job, ()))
 
     def members(self) -> set[str]:
-        """All jobs that wait for others, or that others wait for."""
-        return self._unfinished.keys() | self._dependents.keys()
+        """All jobs that wait for a dependency, and all dependencies that jobs wait for."""
+        return self._unfinished_dependencies.keys() | self._dependents.keys()
 
     def add_incomplete(self, job: str) -> None:
-        """Keeps an open job unreleased until its dependencies are added."""
-        self._unfinished.setdefault(job, set())
+        """Keeps an open job unreleased until `add` is called with all its dependencies."""
+        self._unfinished_dependencies.setdefault(job, set())
 
     def add(self, job: str, dependencies: Iterable[str]) -> set[str]:
-        """Adds the dependencies of an open job, once.
+        """Adds all dependencies of an open job. Must be called only once per job.
 
-        Returns the jobs affected: the dependencies that are not done, or the job itself if it is released or
-        cancelled already.
+        Returns the affected jobs: the dependencies that are not done; the job itself if it is released at
+        once; or the job with its descendants if it is cancelled at once.
         """
-        unfinished = {name for name in dependencies if self._outcomes.get(name) is not DependencyOutcome.DONE}
+        unfinished = {
+            dependency
+            for dependency in dependencies
+            if self._outcomes.get(dependency) is not DependencyOutcome.DONE
+        }
         if not unfinished:
-            self._unfinished.pop(job, None)
+            self._unfinished_dependencies.pop(job, None)
             return {job}
-        if any(self._is_cancelled(name) for name in unfinished):
+        if any(self._is_cancelled(dependency) for dependency in unfinished):
             return self._cancel([job])
-        self._unfinished[job] = unfinished
-        for name in unfinished:
-            self._dependents.setdefault(name, []).append(job)
+        self._unfinished_dependencies[job] = unfinished
+        for dependency in unfinished:
+            self._dependents.setdefault(dependency, []).append(job)
         return unfinished
 
     def observe(self, job: str, outcome: DependencyOutcome) -> set[str]:
@@ -83,7 +88,7 @@
         if outcome is DependencyOutcome.DONE:
             return self._release(self._dependents.pop(job, []), job)
         if outcome is DependencyOutcome.CANCELLED:
-            self._unfinished.pop(job, None)
+            self._unfinished_dependencies.pop(job, None)
             return self._cancel(self._dependents.pop(job, []))
         return set()
 
@@ -92,20 +97,20 @@
         return job in self._cancelled or self._outcomes.get(job) is DependencyOutcome.CANCELLED
 
     def _release(self, dependents: list[str], dependency: str) -> set[str]:
-        """Returns those of the dependents that wait for nothing but this dependency, which is done."""
+        """Marks a dependency as done for its dependents. Returns the dependents that are released."""
         released = set()
         for job in dependents:
-            unfinished = self._unfinished.get(job)
+            unfinished = self._unfinished_dependencies.get(job)
             if unfinished is None:
                 continue
             unfinished.discard(dependency)
             if not unfinished:
-                del self._unfinished[job]
+                del self._unfinished_dependencies[job]
                 released.add(job)
         return released
 
     def _cancel(self, jobs: Iterable[str]) -> set[str]:
-        """Cancels these jobs and all their descendants, and returns those that were not cancelled before."""
+        """Cancels these jobs and all their descendants. Returns the jobs that were not cancelled before."""
         cancelled: set[str] = set()
         pending = [job for job in jobs if self._outcomes.get(job) is not DependencyOutcome.CANCELLED]
         while pending:
@@ -114,6 +119,6 @@
                 continue
             self._cancelled.add(job)
             cancelled.add(job)
-            self._unfinished.pop(job, None)
+            self._unfinished_dependencies.pop(job, None)
             pending.extend(self._dependents.pop(job, ()))
         return cancelled
--- a/spindleglade/submissions/errors.py
+++ b/spindleglade/submissions/errors.py
@@ -1,10 +1,10 @@
-"""Errors raised while a submission is checked. Their messages are sent to users and kept to the letter."""
+"""Errors raised when a submission is rejected. Users receive their messages, so the texts must not change."""
 
 from enum import StrEnum
 
 
 class SubmissionError(Exception):
-    """A well-formed submission that cannot be accepted."""
+    """Base of the errors for a well-formed submission that cannot be accepted."""
 
     def __init__(self, job: str, message: str) -> None:
         super().__init__(message)
@@ -12,7 +12,7 @@
 
 
 class UnschedulableReason(StrEnum):
-    """Why a job can never run, as its user is told."""
+    """Why a job can never run. The values are sent to users."""
 
     UNKNOWN_TEAM = "unknown team"
     OVER_TEAM_LIMIT = "more is needed at once than the team's limit"
@@ -21,7 +21,7 @@
 
 
 class UnschedulableJobError(SubmissionError):
-    """The job can never run, whatever else runs."""
+    """The job can never run, even on an empty cluster."""
 
     def __init__(self, job: str, reason: UnschedulableReason) -> None:
         super().__init__(job, str(reason))
--- a/spindleglade/submissions/job_view.py
+++ b/spindleglade/submissions/job_view.py
@@ -1,4 +1,4 @@
-"""What a controller knows of one job."""
+"""The state of one job as a controller derives it from its replica."""
 
 import msgspec
 
@@ -15,24 +15,25 @@
 
 
 class JobView(msgspec.Struct):
-    """A job's record and the records of its task ranges, as the controller's replica holds them."""
+    """A job's record and the records of its task ranges, as read from the controller's replica."""
 
     record: JobRecord
-    # Which value covers which tasks.
+    # The boundaries that decide which range record covers which tasks.
     ranges: TaskRanges
-    # The values by their first tasks, with entries that are stale because an overflow range covers them.
+    # The records of ranges and overflow ranges, by first task. They may hold stale entries of tasks that an
+    # overflow range has taken over.
     range_records: dict[int, TaskRangeRecord] = {}
-    # An ancestor is cancelled, so this job is too, whatever its own record says.
+    # Whether the job is cancelled through an ancestor, whatever its own record says.
     cancelled: bool = False
 
     @property
     def is_final(self) -> bool:
-        """Whether the state can never change again."""
+        """Whether the job is done or cancelled, so that its state never changes again."""
         return self.record.state != JobState.OPEN or self.cancelled
 
     @property
     def state(self) -> JobStatus:
-        """The state as the user sees it."""
+        """The state that is reported to users."""
         if self.record.state == JobState.DONE:
             return JobStatus.DONE
         if self.is_final:
@@ -41,30 +42,30 @@
 
     @property
     def running(self) -> int:
-        """How many tasks may be on a machine; none once the record is final."""
+        """The number of tasks recorded as placed on a machine; 0 if the record is final."""
         if self.record.state != JobState.OPEN:
             return 0
         return sum(len(range_record.placed) for range_record in self.effective_ranges())
 
     @property
     def done_count(self) -> int:
-        """How many tasks are done; none of a job whose record is cancelled."""
+        """The number of tasks that are done; 0 if the record is cancelled."""
         if self.record.state == JobState.OPEN:
             return sum(range_record.count_done() for range_record in self.effective_ranges())
         return self.record.spec.tasks if self.record.state == JobState.DONE else 0
 
     def effective_ranges(self) -> list[TaskRangeRecord]:
-        """The records of the task ranges, without entries that are stale."""
+        """The records of the task ranges without stale entries."""
         effective = []
         for first_task, range_record in self.range_records.items():
             end = self.ranges.end(first_task)
-            # Only a range that was split holds anything stale.
+            # Only a range that was split, and so ends at an overflow range, can hold stale entries.
             is_split = self.ranges.is_overflow(end)
             effective.append(range_record.restricted_to(first_task, end) if is_split else range_record)
         return effective
 
     def apply_range(self, key: str, range_record: TaskRangeRecord | None) -> None:
-        """Applies the present value of a task range; None if it was removed."""
+        """Applies the latest record of the task range under `key`; None if the key was removed."""
         if key.startswith(OVERFLOW_RANGES):
             _, first_task = split_overflow_range_key(key)
             if range_record is None:
--- a/spindleglade/submissions/messages.py
+++ b/spindleglade/submissions/messages.py
@@ -1,4 +1,4 @@
-"""The messages that users send and receive. Wire names are translated to the terms of the code only here."""
+"""The messages that users send and receive, with the mapping between wire names and names in the code."""
 
 from enum import StrEnum
 from typing import Annotated
@@ -24,7 +24,7 @@
     BEST_EFFORT = "best_effort"
 
 
-# A job of a higher rank goes first, and may preempt tasks of a lower one.
+# Jobs of a higher rank are placed first, and may preempt tasks of jobs of a lower rank.
 RANK: dict[Priority, int] = {
     Priority.CRITICAL: 3,
     Priority.HIGH: 2,
@@ -34,18 +34,18 @@
 
 
 class JobKind(StrEnum):
-    """How the tasks of a job belong together."""
+    """Whether the tasks of a job run independently, as a gang, or as a service."""
 
     # Each task runs independently of the others.
     ARRAY = "array"
-    # All tasks start together.
+    # All tasks must start together.
     GANG = "group"
-    # The tasks start together, and run until the job is cancelled.
+    # All tasks must start together, and they run until the job is cancelled.
     SERVICE = "standing"
 
 
 class JobStatus(StrEnum):
-    """The state of a job as its user sees it. The last two are final."""
+    """The state of a job that is reported to users. DONE and CANCELLED are final."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -54,7 +54,7 @@
 
 
 class Submission(msgspec.Struct, frozen=True):
-    """A job as its user describes it. Fields whose names end in `_s` are seconds."""
+    """A job as described by its user. Fields with names ending in `_s` are in seconds."""
 
     id: JobId = msgspec.field(name="ref")
     job_class: Text = msgspec.field(name="bobbin")
@@ -72,7 +72,7 @@
     spot: bool = msgspec.field(name="windfall")
     checkpoint_s: Amount = msgspec.field(name="knot_s")
     save_s: Amount = msgspec.field(name="tie_s")
-    # Only a service may go without an estimate.
+    # How long each task is expected to run. Required unless the job is a service.
     estimate_s: Amount | None = msgspec.field(name="reckon_s", default=None)
     types: Annotated[list[Text], msgspec.Meta(max_length=50)] | None = msgspec.field(
         name="frames", default=None
@@ -91,56 +91,56 @@
 
 
 class _Dependencies(msgspec.Struct):
-    """The jobs that must be done before any task of a submitted job starts."""
+    """The part of a submission that lists the jobs which must be done before any task starts."""
 
     dependencies: list[JobId] | None = msgspec.field(name="awaits", default=None)
 
 
 class _JobReference(msgspec.Struct):
-    """The job that a submission is about, whatever else it says."""
+    """The part of a submission that identifies the job, decoded even if other fields are invalid."""
 
     id: JobId = msgspec.field(name="ref")
 
 
-_submissions = msgspec.json.Decoder(Submission)
-_dependencies = msgspec.json.Decoder(_Dependencies)
-_job_references = msgspec.json.Decoder(_JobReference)
+_submission_decoder = msgspec.json.Decoder(Submission)
+_dependencies_decoder = msgspec.json.Decoder(_Dependencies)
+_job_reference_decoder = msgspec.json.Decoder(_JobReference)
 
 
 class JobResponse(msgspec.Struct):
-    """The answer to a submission or a cancellation."""
+    """The response to a submission or a cancellation."""
 
     id: str = msgspec.field(name="ref")
     state: str = msgspec.field(name="stage")
 
 
 class JobStatusResponse(msgspec.Struct):
-    """The answer to a status request."""
+    """The response to a status request."""
 
     id: str = msgspec.field(name="ref")
     state: str = msgspec.field(name="stage")
-    # Numbers of tasks.
+    # The number of tasks that are done, and the number of tasks placed on a machine.
     done: int
     running: int
 
 
 def decode_submission(body: bytes) -> Submission:
-    """Raises msgspec.DecodeError (of which its ValidationError is one) on anything malformed."""
-    return decode(_submissions.decode, body)
+    """Decodes a submission. Raises msgspec.DecodeError (or its ValidationError) if it is malformed."""
+    return decode(_submission_decoder.decode, body)
 
 
 def decode_dependencies(body: bytes) -> list[str]:
-    """The jobs that a submitted job depends on, each once, in the order given.
+    """Returns the dependencies of a submitted job, without duplicates, in the order given.
 
-    Raises msgspec.DecodeError on anything but a list of job ids.
+    Raises msgspec.DecodeError if they are not a list of job ids.
     """
-    return list(dict.fromkeys(decode(_dependencies.decode, body).dependencies or ()))
+    return list(dict.fromkeys(decode(_dependencies_decoder.decode, body).dependencies or ()))
 
 
 def decode_job_reference(body: bytes) -> str | None:
-    """The job that a malformed submission is about, if it says so."""
+    """Returns the id of the job in a malformed submission, or None if it cannot be decoded."""
     try:
-        return decode(_job_references.decode, body).id
+        return decode(_job_reference_decoder.decode, body).id
     except (msgspec.DecodeError, UnicodeDecodeError):
-        # A body that cannot be decoded at all repeats no submission.
+        # Without a job id, the body cannot be the repetition of an accepted submission.
         return None
--- a/spindleglade/submissions/records.py
+++ b/spindleglade/submissions/records.py
@@ -1,9 +1,9 @@
 """The records of jobs and task ranges in the state service, and the keys they are stored under.
 
-A job is one key, and the state in its record is authoritative. The attempts of its tasks are stored in task
-ranges, one key each, written by the leader only. A task that no range mentions has never been attempted. A
-range that outgrows a value is split: overflow ranges, which earlier versions ignore, take over its tasks from
-their first task on (see `task_ranges`).
+Each job has one key, and the state in its record is authoritative. The attempts of its tasks are stored in
+task ranges, one key each, which only the leader writes. A task that appears in no range has never been
+attempted. A range that exceeds the limit on values is split: each overflow range takes over the tasks from
+its first task on (see `task_ranges`). Earlier versions ignore overflow ranges.
 """
 
 from datetime import datetime
@@ -13,11 +13,12 @@
 
 from spindleglade.submissions.messages import Submission
 
-# All keys of the service begin with this.
+# The prefix of all keys that the scheduler stores in the state service.
 PREFIX = "sg/"
 JOBS = PREFIX + "job/"
 TASK_RANGES = PREFIX + "task/"
-# Dependencies of a job that do not fit into its record. Written with the record, never changed or removed.
+# Lists of dependencies that do not fit into a job's record. They are written in the same transaction as the
+# record, and never changed or removed.
 DEPENDENCIES = PREFIX + "dependencies/"
 OVERFLOW_RANGES = PREFIX + "part/"
 TYPES = PREFIX + "types"
@@ -26,7 +27,7 @@
 
 
 class JobState(StrEnum):
-    """The state in a job's record. The last two are final."""
+    """The state in a job's record. DONE and CANCELLED are final."""
 
     OPEN = "open"
     DONE = "done"
@@ -34,33 +35,34 @@
 
 
 class JobRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A job as the state service stores it.
+    """A job as it is stored in the state service.
 
-    Versions without dependencies ignore the fields that were added with them, and drop those fields when they
-    record a final state; nothing reads them after that.
+    Versions from before dependencies existed ignore the fields added for them, and drop these fields when
+    they write a final state. The dropped fields are read only while the job is open.
     """
 
     state: JobState = msgspec.field(name="stage")
     spec: Submission
-    # Tasks in a range; fixed when the job is accepted, so that later settings cannot move the boundaries.
+    # The number of tasks in a range. Fixed when the job is accepted, because a later change of settings must
+    # not move the boundaries of ranges already stored.
     range_size: int = msgspec.field(name="chunk")
-    # When the job was accepted, by the time of day of the controller that accepted it.
+    # When the job was accepted, by the wall clock of the controller that accepted it.
     accepted_at: datetime | None = msgspec.field(name="accepted", default=None)
-    # Jobs that must be done before any task of this one starts; only while the job is open.
+    # The jobs that must be done before any task of this job starts. Kept only while the job is open.
     dependencies: list[str] = []
-    # How many further keys hold the rest of the dependencies.
+    # The number of keys that hold lists of dependencies which do not fit into this record.
     dependency_keys: int = 0
-    # When all tasks were known to be done, by the leader's time of day.
+    # When the leader knew that all tasks were done, by the leader's wall clock.
     finished_at: datetime | None = msgspec.field(name="finished", default=None)
 
     @property
     def has_dependencies(self) -> bool:
-        """Whether the job depends on others, named in this record or under further keys."""
+        """Whether the job has dependencies, in this record or in lists under keys of their own."""
         return bool(self.dependencies) or self.dependency_keys > 0
 
 
 class StoredAttempt(msgspec.Struct, frozen=True, array_like=True):
-    """The attempt of a task that may be on a machine."""
+    """An attempt of a task that has been placed on a machine and may be running there."""
 
     attempt: int
     machine: str
@@ -68,17 +70,19 @@
 
 
 class TaskRangeRecord(msgspec.Struct, omit_defaults=True):
-    """What is stored of the tasks of one range."""
+    """The stored state of the tasks of one task range or overflow range."""
 
-    # Tasks that are done, as the first and last of each run of consecutive numbers; short even when all are.
+    # The first and last number of each run of consecutive tasks that are done. Runs keep the record short
+    # even when all tasks are done.
     done: list[tuple[int, int]] = []
-    # The attempt that may be on a machine, by task number.
+    # The attempt that is placed on a machine, by task number.
     placed: dict[int, StoredAttempt] = {}
-    # The highest attempt so far, by the number of a task that waits for another.
+    # The number of the latest attempt, by task number, for each attempted task that waits for its next
+    # attempt.
     tried: dict[int, int] = {}
 
     def restricted_to(self, start: int, end: int) -> "TaskRangeRecord":
-        """The record without the tasks outside `start` to `end - 1`, whose entries are stale."""
+        """The record without the stale entries of tasks outside `start` to `end - 1`."""
         done = [(max(first, start), min(last, end - 1)) for first, last in self.done]
         return TaskRangeRecord(
             [(first, last) for first, last in done if first <= last],
@@ -97,52 +101,52 @@
 
 
 def range_key(job: str, number: int) -> str:
-    """The key of a task range, which is numbered within its job."""
+    """The key of a task range. `number` counts the ranges of the job from 0."""
     return f"{TASK_RANGES}{job}/{number:06d}"
 
 
 def split_range_key(key: str) -> tuple[str, int]:
-    """The job and the number of a task range."""
+    """The job id and the range number in the key of a task range."""
     job, _, number = key[len(TASK_RANGES) :].rpartition("/")
     return job, int(number)
 
 
 def overflow_range_key(job: str, first_task: int) -> str:
-    """The key of an overflow range, which is named by its first task."""
+    """The key of an overflow range, which is identified by its first task."""
     return f"{OVERFLOW_RANGES}{job}/{first_task:06d}"
 
 
 def split_overflow_range_key(key: str) -> tuple[str, int]:
-    """The job and the first task of an overflow range."""
+    """The job id and the first task in the key of an overflow range."""
     job, _, first_task = key[len(OVERFLOW_RANGES) :].rpartition("/")
     return job, int(first_task)
 
 
 def dependency_key(job: str, number: int) -> str:
-    """The key of a list of dependencies, which is numbered within its job."""
+    """The key of a list of dependencies. `number` counts the lists of the job from 0."""
     return f"{DEPENDENCIES}{job}/{number:06d}"
 
 
 def split_dependency_key(key: str) -> tuple[str, int]:
-    """The job and the number of a list of dependencies."""
+    """The job id and the list number in the key of a list of dependencies."""
     job, _, number = key[len(DEPENDENCIES) :].rpartition("/")
     return job, int(number)
 
 
-# The longest entry of a placed task, and bytes to spare for each task.
-_LONGEST_ENTRY = '"99999":[4294967296,"n-0000000000000000",4294967296],'
+# The longest JSON of an entry in `placed`, and a reserve in bytes for each task.
+_LONGEST_PLACED_ENTRY = '"99999":[4294967296,"n-0000000000000000",4294967296],'
 _SPARE_BYTES_PER_TASK = 8
 MAX_TASKS_PER_RANGE = 256
 
 
 def tasks_per_range(value_bytes: int) -> int:
-    """Tasks in a range such that its longest form, with every task placed, fits into one value."""
-    bytes_per_task = len(_LONGEST_ENTRY) + _SPARE_BYTES_PER_TASK
+    """The number of tasks in a range such that its record fits into a value even with every task placed."""
+    bytes_per_task = len(_LONGEST_PLACED_ENTRY) + _SPARE_BYTES_PER_TASK
     return max(1, min(MAX_TASKS_PER_RANGE, value_bytes // bytes_per_task))
 
 
 def consecutive_runs(numbers: list[int]) -> list[tuple[int, int]]:
-    """Sorted numbers as runs of consecutive ones, each with its first and its last number."""
+    """Groups sorted numbers into runs of consecutive numbers, each given by its first and last number."""
     runs: list[tuple[int, int]] = []
     for number in numbers:
         if runs and number == runs[-1][1] + 1:
@@ -152,15 +156,17 @@
     return runs
 
 
-# Characters that each of a user's texts may take in a record that was shortened.
-MAX_SHORTENED_TEXT = 40
+# The most characters kept of the image and of the job class in a shortened record.
+MAX_SHORTENED_TEXT_CHARS = 40
 
 
 def final_record(record: JobRecord, state: JobState, value_bytes: int | None) -> JobRecord:
-    """The record of a job in a final state, in at most `value_bytes` if these are known.
+    """Returns the record of a job in a final state, shortened if it would exceed `value_bytes`.
 
-    A job that was accepted under a larger limit loses what nothing reads any more. What tasks and teams are
-    counted by is kept, and every version can read it.
+    `value_bytes` is None if the limit on values is unknown; the record is then never shortened. A record that
+    was accepted under a larger limit loses machine types, zone and long texts, which are not read in a final
+    state. The fields from which tasks and team usage are counted are kept, and all versions can decode the
+    result.
     """
     final = msgspec.structs.replace(record, state=state, dependencies=[], dependency_keys=0)
     if value_bytes is None or len(msgspec.json.encode(final)) <= value_bytes:
@@ -170,7 +176,7 @@
         spec,
         types=None,
         zone=None,
-        image=spec.image[:MAX_SHORTENED_TEXT],
-        job_class=spec.job_class[:MAX_SHORTENED_TEXT],
+        image=spec.image[:MAX_SHORTENED_TEXT_CHARS],
+        job_class=spec.job_class[:MAX_SHORTENED_TEXT_CHARS],
     )
     return msgspec.structs.replace(final, spec=shortened)
--- a/spindleglade/submissions/schedulability.py
+++ b/spindleglade/submissions/schedulability.py
@@ -1,4 +1,4 @@
-"""Whether a submitted job can ever run: within its team's limits, on machines of a type that it allows."""
+"""Checks whether a submitted job can ever run: within its team's limits, on a machine type that it allows."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class MachineShape(msgspec.Struct, frozen=True):
-    """The part of a machine type that decides which tasks fit."""
+    """The resources and zones of a machine type, which decide which tasks fit on it."""
 
     name: str
     cpus: float
@@ -18,7 +18,7 @@
 
 
 def check_schedulable(job: Submission, teams: dict[str, Team], shapes: list[MachineShape]) -> None:
-    """Raises UnschedulableJobError for a job that can never run, whatever else runs."""
+    """Raises UnschedulableJobError if the job could not run even on an empty cluster."""
     team = teams.get(job.team)
     if team is None:
         raise UnschedulableJobError(job.id, UnschedulableReason.UNKNOWN_TEAM)
@@ -30,7 +30,7 @@
 
 
 def _fits(job: Submission, shape: MachineShape) -> bool:
-    """Whether a task of the job may run on machines of this type, and fits them."""
+    """Whether the job allows this machine type, and one of its tasks fits on such a machine."""
     return (
         (job.types is None or shape.name in job.types)
         and (job.zone is None or not shape.zones or job.zone in shape.zones)
--- a/spindleglade/submissions/task_ranges.py
+++ b/spindleglade/submissions/task_ranges.py
@@ -1,9 +1,10 @@
 """How a job's tasks are divided among values of the state service.
 
-A job's tasks are stored in ranges of a size that is fixed when the job is accepted, one value each. Where the
-limit on values falls below what a range takes, the range is split: overflow ranges, which have keys of their
-own, take over the tasks from their first one on. A value covers the tasks from its start to the next
-boundary, which is the start of the next range or overflow range; whatever it holds beyond is stale.
+A job's tasks are stored in ranges, one value each, of a size that is fixed when the job is accepted. If the
+limit on values falls below the size of a range's record, the range is split: overflow ranges, which have keys
+of their own, take over the tasks from their first task on. A value covers the tasks from its start to the
+next boundary, which is the start of the next range or overflow range. Its entries beyond that boundary are
+stale.
 """
 
 from bisect import bisect_right, insort
@@ -13,7 +14,7 @@
 
 
 class TaskRanges:
-    """The boundaries between the values of one job. A range is identified by its first task."""
+    """The boundaries between the ranges of one job. A range is identified by its first task."""
 
     __slots__ = ("_overflow_starts", "_range_size", "_tasks")
 
@@ -27,16 +28,19 @@
 
     @property
     def overflow_starts(self) -> list[int]:
-        """The first tasks of all overflow ranges."""
+        """The first tasks of all overflow ranges, sorted."""
         return list(self._overflow_starts)
 
     @property
     def range_starts(self) -> range:
-        """The first tasks of all ranges but the overflow ranges."""
+        """The first tasks of all ranges except the overflow ranges."""
         return range(0, self._tasks, self._range_size)
 
     def add(self, first_task: int) -> None:
-        """Adds an overflow range that begins with this task. Raises ValueError if none can begin there."""
+        """Adds an overflow range that begins with this task. Adding it again has no effect.
+
+        Raises ValueError if the task is outside the job or begins a range.
+        """
         if not 0 < first_task < self._tasks or first_task % self._range_size == 0:
             raise ValueError(f"no overflow range can begin at task {first_task}")
         if not self.is_overflow(first_task):
@@ -62,7 +66,7 @@
         return start
 
     def end(self, start: int) -> int:
-        """The first task that no longer belongs to the range that begins with `start`."""
+        """The first task after the range that begins with `start`."""
         end = min(start - start % self._range_size + self._range_size, self._tasks)
         if self._overflow_starts:
             position = bisect_right(self._overflow_starts, start)
@@ -71,25 +75,25 @@
         return end
 
     def split_points(self, start: int, max_tasks: int) -> list[int]:
-        """Where to split a range into ranges of at most `max_tasks`.
+        """The first tasks of the overflow ranges that split a range into parts of at most `max_tasks` tasks.
 
-        A range that is not larger than that is halved; a single task cannot be split.
+        A range that is not larger than `max_tasks` is halved. The result is empty for a range of one task.
         """
         end = self.end(start)
         max_tasks = max(1, min(max_tasks, (end - start + 1) // 2))
         return list(range(start + max_tasks, end, max_tasks))
 
     def key(self, job: str, start: int) -> str:
-        """The key of the value of the range that begins with `start`."""
+        """The key of the range or overflow range that begins with `start`."""
         if self.is_overflow(start):
             return overflow_range_key(job, start)
         return range_key(job, start // self._range_size)
 
     def keys(self, job: str) -> list[str]:
-        """All keys of the job, in the order in which they may be removed once the job is over.
+        """The keys of the job's ranges, in the order in which they may be removed once the job has ended.
 
-        An overflow range is removed after everything to its left, whose stale entries would count again
-        without it.
+        An overflow range must be removed after all ranges before it, because their stale entries would become
+        effective again without it.
         """
         ranges = [range_key(job, start // self._range_size) for start in self.range_starts]
         return ranges + [overflow_range_key(job, start) for start in self._overflow_starts]
--- a/spindleglade/submissions/test_dependencies.py
+++ b/spindleglade/submissions/test_dependencies.py
@@ -11,7 +11,7 @@
 
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.messages import Put, encode_value
-from spindleglade.submissions.acceptance import acceptance_writes, split_list
+from spindleglade.submissions.acceptance import acceptance_writes, split_dependencies
 from spindleglade.submissions.dependencies import DependencyGraph, DependencyOutcome
 from spindleglade.submissions.errors import TooManyDependenciesError
 from spindleglade.submissions.messages import decode_submission
@@ -310,7 +310,7 @@
 
 @given(st.lists(st.integers(1, 60).map(lambda digits: "job-" + "7" * digits)), st.integers(80, 400))
 def test_a_split_list_keeps_its_order_and_each_list_fits(names, max_bytes):
-    lists = split_list(names, max_bytes)
+    lists = split_dependencies(names, max_bytes)
     assert [entry for entries in lists for entry in entries] == names
     assert all(entries and len(encode_value(entries)) <= max_bytes for entries in lists)
 
--- a/spindleglade/submissions/test_views.py
+++ b/spindleglade/submissions/test_views.py
@@ -52,4 +52,4 @@
     # Ranges that are removed before their job is known leave nothing behind.
     views.on_change(range_key("job-2", 0), encode_value(TaskRangeRecord([(0, 1)])), 5)
     views.on_change(range_key("job-2", 0), None, 6)
-    assert not views.ranges_before_job
+    assert not views.ranges_of_unknown_jobs
