--- a/spindleglade/store/rate_limits.py
+++ b/spindleglade/store/rate_limits.py
@@ -18,7 +18,7 @@
 WRITE_BURST_S = 0.5
 # How long the lower of the present and the announced limits are used after a request refused with status 429.
 LOWER_RATES_DURATION = timedelta(seconds=60)
-# Successive requests of one kind use at most one part in REQUEST_KINDS of a controller's share.
+# Requests of one kind are spaced so that they use at most 1/REQUEST_KINDS of a controller's share.
 REQUEST_KINDS = 3
 
 
--- a/spindleglade/store/test_replica.py
+++ b/spindleglade/store/test_replica.py
@@ -1,4 +1,4 @@
-"""The replica under generated responses."""
+"""Tests of the replica with generated and scripted responses."""
 
 import msgspec
 from hypothesis import given
@@ -11,101 +11,107 @@
 from spindleglade.store.messages import Change, Entry, Listing
 from spindleglade.store.replica import Replica
 
-OPS = st.lists(
+OPERATIONS = st.lists(
     st.tuples(st.sampled_from(["put", "remove"]), st.sampled_from("abc"), st.integers(0, 9)), max_size=30
 )
 
 
 class Store:
-    """What a correct service would hold and respond, change by change."""
+    """A correct state service: all its changes, and its keys after each of them."""
 
-    def __init__(self, ops):
-        self.log, self.at = [], []
+    def __init__(self, operations):
+        self.log, self.keys_after = [], []
         keys: dict[str, tuple[int, int]] = {}
-        for mod_revision, (op, key, value) in enumerate(ops, 1):
-            if op == "put":
+        for mod_revision, (operation, key, value) in enumerate(operations, 1):
+            if operation == "put":
                 keys[key] = (value, mod_revision)
                 self.log.append(Change(mod_revision, put=key, value=msgspec.Raw(b"%d" % value)))
             else:
                 keys.pop(key, None)
                 self.log.append(Change(mod_revision, removed=key))
-            self.at.append(dict(keys))
+            self.keys_after.append(dict(keys))
 
     def changes(self, since, revision):
+        """The response to a watch after `since` that includes the changes up to `revision`."""
         return revision, [change for change in self.log if since < change.mod_revision <= revision]
 
 
 class IdleClient:
-    """A client that gets no request."""
+    """A client for tests in which no request is sent."""
 
 
-def make(client=None):
+def make_replica(client=None):
     clock = ManualClock()
     replica = Replica(client or IdleClient(), clock, "", seconds(10), seconds(1))
-    held: dict[str, int] = {}
+    values: dict[str, int] = {}
 
     def on_change(key, value, mod_revision):
         if value is None:
-            held.pop(key, None)
+            values.pop(key, None)
         else:
-            held[key] = int(value)
+            values[key] = int(value)
 
     replica.subscribe(on_change)
-    return clock, replica, held
-
-
-@given(OPS, st.lists(st.tuples(st.integers(0, 30), st.integers(0, 30)), max_size=12))
-def test_overlapping_responses_leave_the_state_of_the_newest(ops, answers):
-    """Responses to the long watch and to catch-ups overlap and come late; each begins at the revision that
-    the replica had at the request, which is never later than the one it has."""
-    store = Store(ops)
-    _, replica, held = make()
-    for back, ahead in answers:
-        since = max(0, replica.revision - back)
-        revision = min(len(store.log), since + ahead)
+    return clock, replica, values
+
+
+@given(OPERATIONS, st.lists(st.tuples(st.integers(0, 30), st.integers(0, 30)), max_size=12))
+def test_overlapping_responses_leave_the_state_of_the_newest(operations, responses):
+    """Responses to the long watch and to catch-ups overlap and may be late. Each begins at the revision that
+    the replica had when the request was sent, which is never later than its present revision."""
+    store = Store(operations)
+    _, replica, values = make_replica()
+    for revisions_back, revisions_ahead in responses:
+        since = max(0, replica.revision - revisions_back)
+        revision = min(len(store.log), since + revisions_ahead)
         replica.apply(*store.changes(since, revision))
-        expected = store.at[replica.revision - 1] if replica.revision else {}
-        assert held == {key: value for key, (value, _) in expected.items()}
+        expected = store.keys_after[replica.revision - 1] if replica.revision else {}
+        assert values == {key: value for key, (value, _) in expected.items()}
         assert replica.mod_revisions == {key: mod_revision for key, (_, mod_revision) in expected.items()}
 
 
 @given(
-    OPS,
+    OPERATIONS,
     st.lists(
         st.tuples(st.booleans(), st.integers(0, 30), st.integers(0, 8), st.integers(0, 8)),
         max_size=12,
     ),
 )
-def test_a_listing_overtaken_by_catch_ups_brings_nothing_back(ops, steps):
-    """Pages are read one after the other while the keys change, and the last may arrive after catch-ups that
-    were requested later. A key that was removed meanwhile must not come back: with the leader key back for
-    good, no controller would ever campaign again."""
-    store = Store(ops)
+def test_a_listing_overtaken_by_catch_ups_brings_nothing_back(operations, steps):
+    """The pages of a listing are read one after the other while keys change, and the last page may arrive
+    after catch-ups that were requested later. A key removed in between must not reappear: if the leader key
+    stayed in the replica for ever, no controller would campaign again."""
+    store = Store(operations)
     client, newest = ScriptedClient(), len(store.log)
-    _, replica, held = make(client)
-    for listing, back, ahead, step in steps:
-        if not listing:
-            since = max(0, replica.revision - back)
-            replica.apply(*store.changes(since, min(newest, since + ahead)))
+    _, replica, values = make_replica(client)
+    for is_listing, revisions_back, revisions_ahead, changes_between_pages in steps:
+        if not is_listing:
+            since = max(0, replica.revision - revisions_back)
+            replica.apply(*store.changes(since, min(newest, since + revisions_ahead)))
         else:
-            # What the replica had at the request may be older than what it has at the response.
-            revision = at = max(0, replica.revision - back)
+            # The revision at the request may be older than the replica's revision at the response.
+            revision = page_revision = max(0, replica.revision - revisions_back)
             entries = []
             for key in "abc":
-                if at and key in store.at[at - 1]:
-                    value, mod_revision = store.at[at - 1][key]
+                if page_revision and key in store.keys_after[page_revision - 1]:
+                    value, mod_revision = store.keys_after[page_revision - 1][key]
                     entries.append(Entry(key, msgspec.Raw(b"%d" % value), mod_revision))
-                at = min(newest, at + step)
+                page_revision = min(newest, page_revision + changes_between_pages)
             before = replica.revision
             run_in_background(replica._load(), "load")
             client.requests.pop().callback(Listing(entries, revision))
             assert replica.revision == max(before, revision)
-            # Later pages may be ahead of the revision; the changes from there make up for it.
-            replica.apply(*store.changes(replica.revision, min(newest, max(replica.revision, at) + ahead)))
-            if replica.revision < at:
+            # Later pages may be newer than the listing's revision, so the replica is consistent only once it
+            # has also applied the changes from that revision up to the last page.
+            replica.apply(
+                *store.changes(
+                    replica.revision, min(newest, max(replica.revision, page_revision) + revisions_ahead)
+                )
+            )
+            if replica.revision < page_revision:
                 continue
-        expected = store.at[replica.revision - 1] if replica.revision else {}
-        assert held == {key: value for key, (value, _) in expected.items()}
+        expected = store.keys_after[replica.revision - 1] if replica.revision else {}
+        assert values == {key: value for key, (value, _) in expected.items()}
         assert replica.mod_revisions == {key: mod_revision for key, (_, mod_revision) in expected.items()}
 
 
@@ -127,21 +133,21 @@
         return self._add_request()
 
 
-def loaded():
+def make_loaded_replica():
     client = ScriptedClient()
-    clock, replica, held = make(client)
+    clock, replica, values = make_replica(client)
     replica.start()
     client.requests.pop(0).callback(Listing([Entry("a", msgspec.Raw(b"1"), 3)], 5))
-    # The long watch is under way now.
+    # The long watch is pending now. No test responds to it.
     client.requests.pop(0)
-    return client, clock, replica, held
+    return client, clock, replica, values
 
 
 def test_a_catch_up_starts_after_the_call_and_is_shared():
-    client, _, replica, _ = loaded()
+    client, _, replica, _ = make_loaded_replica()
     fired = []
     replica.catch_up().addCallback(lambda _: fired.append("first"))
-    # These are called while a catch-up is under way, which may be older than they are.
+    # These calls come while a catch-up is under way, which may have read the store before them.
     replica.catch_up().addCallback(lambda _: fired.append("second"))
     replica.catch_up().addCallback(lambda _: fired.append("third"))
     assert len(client.requests) == 1
@@ -153,7 +159,7 @@
 
 
 def test_without_the_store_catch_ups_fail():
-    client, _, replica, _ = loaded()
+    client, _, replica, _ = make_loaded_replica()
     failed = []
     before = replica.current_as_of
     replica.catch_up().addErrback(lambda failure: failed.append(failure.check(StaleReplicaError)))
@@ -163,31 +169,31 @@
 
 def test_a_replica_whose_revision_is_compacted_reads_all_again():
     client = ScriptedClient()
-    clock, replica, held = make(client)
+    clock, replica, values = make_replica(client)
     replica.start()
     client.requests.pop(0).callback(
         Listing([Entry("a", msgspec.Raw(b"1"), 3), Entry("b", msgspec.Raw(b"2"), 4)], 5)
     )
     client.requests.pop(0).errback(RevisionCompactedError())
     client.requests.pop(0).callback(Listing([Entry("b", msgspec.Raw(b"7"), 20_000)], 20_000))
-    assert held == {"b": 7} and replica.revision == 20_000
+    assert values == {"b": 7} and replica.revision == 20_000
 
 
 def test_an_error_of_one_subscriber_does_not_end_the_watch():
-    client, _, replica, held = loaded()
+    client, _, replica, values = make_loaded_replica()
     replica.subscribe(lambda key, value, mod_revision: 1 / 0)
     replica.apply(9, [Change(9, put="c", value=msgspec.Raw(b"4"))])
-    assert held["c"] == 4 and replica.revision == 9
+    assert values["c"] == 4 and replica.revision == 9
 
 
 def test_after_a_catch_up_that_raises_the_next_one_still_begins(monkeypatch):
-    """Else it would be taken to be under way for ever, and no catch-up would ever succeed."""
+    """Guards against a catch-up that counts as under way for ever, so that no further one is started."""
 
     class RespondingClient:
         async def watch(self, prefix, since, max_wait):
             return 1, []
 
-    clock, replica, _ = make(RespondingClient())
+    clock, replica, _ = make_replica(RespondingClient())
     replica.loaded = True
     log_catch_up = replica._log_catch_up
 
@@ -213,7 +219,7 @@
                 raise error
             return 7, []
 
-    clock, replica, _ = make(RespondingClient())
+    clock, replica, _ = make_replica(RespondingClient())
     replica.loaded = True
     while outcomes:
         replica.catch_up().addErrback(lambda failure: failure.trap(StaleReplicaError))
--- a/spindleglade/store/test_token_bucket.py
+++ b/spindleglade/store/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket under generated requests."""
+"""Tests of the token bucket with generated requests."""
 
 from datetime import timedelta
 
@@ -10,14 +10,14 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 2), st.integers(1, 5), st.booleans()), max_size=40))
-def test_no_more_than_the_share_is_used_over_time(spends):
+def test_no_more_than_the_share_is_used_over_time(requests):
     clock = ManualClock()
     bucket = TokenBucket(clock, 10.0, 10.0)
-    used, latest = 0.0, timedelta(0)
-    for pause, amount, urgent in spends:
-        clock.advance(seconds(pause))
+    taken, latest_send = 0.0, timedelta(0)
+    for pause_s, amount, urgent in requests:
+        clock.advance(seconds(pause_s))
         if urgent:
             continue
-        latest = max(latest, clock.now() + bucket.reserve(amount))
-        used += amount
-    assert used <= 10.0 + 10.0 * latest.total_seconds() + 1e-6
+        latest_send = max(latest_send, clock.now() + bucket.reserve(amount))
+        taken += amount
+    assert taken <= 10.0 + 10.0 * latest_send.total_seconds() + 1e-6
--- a/spindleglade/submissions/responses.py
+++ b/spindleglade/submissions/responses.py
@@ -9,7 +9,7 @@
 
 RETRY_LATER = HttpResponse(503, b'{"error":"try again later"}', RETRY_AFTER_S)
 # The job's record exceeds the limit of the state service on values.
-TOO_LARGE = HttpResponse(400, b'{"error":"the job\'s description is too large to be kept"}')
+JOB_TOO_LARGE = HttpResponse(400, b'{"error":"the job\'s description is too large to be kept"}')
 READY = HttpResponse(200, b"{}")
 
 
--- a/spindleglade/submissions/submission.py
+++ b/spindleglade/submissions/submission.py
@@ -27,7 +27,7 @@
     decode_submission,
 )
 from spindleglade.submissions.records import JobRecord, JobState, job_key, tasks_per_range
-from spindleglade.submissions.responses import RETRY_LATER, TOO_LARGE, error_response, job_response
+from spindleglade.submissions.responses import JOB_TOO_LARGE, RETRY_LATER, error_response, job_response
 from spindleglade.submissions.schedulability import MachineShape, check_schedulable
 from spindleglade.submissions.status import StatusReader
 from spindleglade.submissions.views import JobViews
@@ -106,13 +106,13 @@
     async def _accept(self, job: Submission, writes: list[Put]) -> HttpResponse:
         """Commits the writes that accept the job, with its record first, and returns the response."""
         if len(writes[0].value) > self._client.limits.largest_new_value:
-            return await self._reject_unless_known(job.id, TOO_LARGE)
+            return await self._reject_unless_known(job.id, JOB_TOO_LARGE)
         record_absent = Condition(job_key(job.id), 0)
         try:
             result = await self._client.compare_and_swap([record_absent], writes, urgent=True)
         except ValueTooLargeError as error:
             log.info("submission too large job=%s reason=%s", job.id, error)
-            return await self._reject_unless_known(job.id, TOO_LARGE)
+            return await self._reject_unless_known(job.id, JOB_TOO_LARGE)
         except (NotAppliedError, OutcomeUnknownError) as error:
             log.info("submission not committed job=%s reason=%s", job.id, error)
             return RETRY_LATER
--- a/spindleglade/submissions/test_api.py
+++ b/spindleglade/submissions/test_api.py
@@ -1,4 +1,4 @@
-"""What users are answered, with a state service that is behind, refuses or does not answer."""
+"""Tests of the users' interface with a replica that is behind and a state service that refuses requests."""
 
 import msgspec
 import pytest
@@ -21,16 +21,18 @@
 
 
 class FakeStateService:
-    """State service and replica of one controller. The replica reads what the service holds only when it
-    catches up; while `reachable` is false every request fails."""
+    """A state service together with the replica of one controller.
+
+    The replica is updated only by `catch_up` and `observe`. While `reachable` is false, every request fails.
+    """
 
     def __init__(self):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
-        # The limit that the client knows, the limit that holds, and the writes refused by it.
-        self.value_bytes, self.accepted_value_bytes, self.refused = 16 * 1024, 16 * 1024, []
+        # The limit known to the client, the limit that the service enforces, and the writes it has refused.
+        self.value_bytes, self.enforced_value_bytes, self.refused_writes = 16 * 1024, 16 * 1024, []
         self.keys, self.mod_revisions, self.revision, self.reachable = {}, {}, 0, True
         self.views = JobViews()
-        # What the response to a transaction waits for.
+        # If set, a Deferred that the response to a transaction waits for.
         self.response_delay = None
         self.api = UserApi(self, self, self.views, TEAMS, lambda: SHAPES, self.forward, lambda: None)
 
@@ -45,9 +47,9 @@
     async def compare_and_swap(self, conditions, writes, urgent=False):
         if not self.reachable:
             raise NotAppliedError("503")
-        if any(len(write.value) > self.accepted_value_bytes for write in writes):
-            assert writes not in self.refused, "repeated unchanged"
-            self.refused.append(writes)
+        if any(len(write.value) > self.enforced_value_bytes for write in writes):
+            assert writes not in self.refused_writes, "repeated unchanged"
+            self.refused_writes.append(writes)
             self.value_bytes = self.limits.value_bytes
             raise ValueTooLargeError("400")
         failed = {
@@ -74,14 +76,14 @@
             self.mod_revisions[key] = mod_revision
             self.views.on_change(key, bytes(value), mod_revision)
 
-    def ask(self, method, path, body=b""):
-        """A list that holds the response once there is one."""
+    def send(self, method, path, body=b""):
+        """Sends a request. Returns a list that gets the response, and is empty until then."""
         responses = []
         run_in_background(self.api.handle(method, path, body), "request").addCallback(responses.append)
         return responses
 
     def status(self, *request):
-        return self.ask(*request)[0].status
+        return self.send(*request)[0].status
 
 
 INVALID_BODIES = {
@@ -97,7 +99,7 @@
 def test_the_repetition_of_an_accepted_submission_is_never_refused_whatever_its_body(body):
     service = FakeStateService()
     assert service.status("POST", "/submissions", body) in (400, 422)
-    # Accepted elsewhere: this replica does not know it yet.
+    # A peer has accepted the job, and this replica has not read its record yet.
     service.write(
         [Put(job_key("job-000412"), encode_value(JobRecord("open", decode_submission(encode()), 8)))]
     )
@@ -105,13 +107,13 @@
     assert service.status("POST", "/submissions", body) == 503
     service.reachable = True
     assert service.status("POST", "/submissions", body) == 200
-    # Known now, but it may have ended meanwhile: not to be answered from memory.
+    # The replica has the job now, but the job may have ended since, so a catch-up is needed.
     service.reachable = False
     assert service.status("POST", "/submissions", body) == 503
-    # A controller that does not know the machine types cannot decide, unless it knows the job.
+    # Without the machine types a submission cannot be checked, but a repeated one needs no check.
     service.reachable, service.api._submitter._shapes = True, lambda: None
     assert service.status("POST", "/submissions", body) == 200
-    # A body that names no job repeats nothing.
+    # A body without a valid job id cannot be a repeated submission.
     assert service.status("POST", "/submissions", b'{"ref":"job-000412"') == 400
     assert service.status("POST", "/submissions", b"[]") == 400
 
@@ -119,13 +121,13 @@
 def test_a_delayed_acceptance_does_not_answer_with_an_older_state():
     service = FakeStateService()
     service.response_delay = Deferred()
-    first = service.ask("POST", "/submissions", encode())
+    first = service.send("POST", "/submissions", encode())
     assert not first
     assert service.status("POST", "/submissions", encode()) == 200
-    service.response_delay, delay = None, service.response_delay
-    assert b"aborted" in service.ask("POST", "/submissions/job-000412/abort")[0].body
-    assert b"aborted" in service.ask("GET", "/submissions/job-000412")[0].body
-    delay.callback(None)
+    service.response_delay, acceptance_delay = None, service.response_delay
+    assert b"aborted" in service.send("POST", "/submissions/job-000412/abort")[0].body
+    assert b"aborted" in service.send("GET", "/submissions/job-000412")[0].body
+    acceptance_delay.callback(None)
     assert first[0].status == 201 and b"aborted" in first[0].body
 
 
@@ -138,16 +140,16 @@
 
 
 def test_a_job_too_large_for_a_value_is_refused_at_once_unless_it_is_known():
-    """A 503 would make users retry it for ever."""
+    """With a response of status 503, users would retry the submission for ever."""
     service = FakeStateService()
     service.limits = StateLimits(100.0, 40.0, 16.0, 12, NextStateLimits(value_kb=2.0))
-    assert service.status("POST", "/submissions", LARGE) == 400 and not service.refused
+    assert service.status("POST", "/submissions", LARGE) == 400 and not service.refused_writes
     service.write([Put(job_key("job-000412"), encode_value(JobRecord("open", decode_submission(LARGE), 8)))])
     assert service.status("POST", "/submissions", LARGE) == 200
-    # The same holds where the service accepts less than the settings say.
+    # The same applies if the service enforces a smaller limit than the settings announce.
     service = FakeStateService()
-    service.accepted_value_bytes = 2048
-    assert service.status("POST", "/submissions", LARGE) == 400 and len(service.refused) == 1
+    service.enforced_value_bytes = 2048
+    assert service.status("POST", "/submissions", LARGE) == 400 and len(service.refused_writes) == 1
 
 
 def test_a_job_accepted_under_a_larger_limit_can_still_be_cancelled():
@@ -155,9 +157,9 @@
     service.limits = StateLimits(100.0, 40.0, 16.0, 12, NextStateLimits(value_kb=2.0))
     spec = decode_submission(LARGE)
     service.write([Put(job_key(spec.id), encode_value(JobRecord("open", spec, 8)))])
-    service.accepted_value_bytes = 2048
-    assert b"aborted" in service.ask("POST", "/submissions/job-000412/abort")[0].body
-    assert len(service.refused) == 1
+    service.enforced_value_bytes = 2048
+    assert b"aborted" in service.send("POST", "/submissions/job-000412/abort")[0].body
+    assert len(service.refused_writes) == 1
     kept = msgspec.json.decode(service.keys[job_key(spec.id)][0], type=JobRecord)
     assert kept.state == "aborted" and kept.range_size == 8
     assert (kept.spec.team, kept.spec.cpus, kept.spec.gpus, kept.spec.memory_gb, kept.spec.tasks) == (
--- a/spindleglade/submissions/test_dependencies.py
+++ b/spindleglade/submissions/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Dependencies between jobs: the graph, how records feed it, and what users are answered."""
+"""Tests of dependencies between jobs: the graph, the records it is built from, and responses to users."""
 
 import json
 import random
@@ -21,182 +21,213 @@
 from spindleglade.submissions.views import JobViews
 from tests.cluster_harness import spec
 
-SIZE = 6
-PLANS = st.tuples(
-    st.lists(st.sets(st.integers(0, SIZE - 1), max_size=3), min_size=SIZE, max_size=SIZE),
+JOB_COUNT = 6
+GRAPHS = st.tuples(
+    st.lists(st.sets(st.integers(0, JOB_COUNT - 1), max_size=3), min_size=JOB_COUNT, max_size=JOB_COUNT),
     st.randoms(use_true_random=False),
 )
 
 
-def name(number):
+def job_id(number):
     return f"job-{number}"
 
 
-def earlier(dependencies):
-    """Jobs name only jobs that came before them."""
-    return [{other for other in named if other < number} for number, named in enumerate(dependencies)]
+def keep_earlier(dependencies):
+    """Drops dependencies on the job itself or on later jobs, because a job depends only on earlier ones."""
+    return [
+        {dependency for dependency in drawn if dependency < number}
+        for number, drawn in enumerate(dependencies)
+    ]
 
 
-def ancestors(plan, number):
-    found, pending = set(), set(plan[number])
+def ancestors(dependencies_of, number):
+    found, pending = set(), set(dependencies_of[number])
     while pending:
-        other = pending.pop()
-        found.add(other)
-        pending |= plan[other] - found
+        dependency = pending.pop()
+        found.add(dependency)
+        pending |= dependencies_of[dependency] - found
     return found
 
 
-@given(PLANS)
-def test_the_graph_agrees_with_a_search_in_whichever_order_records_come(plan_and_random):
-    """Each job's record is seen open first, and later, at any time, done or cancelled; done only once all its
-    dependencies are, as in the service."""
-    dependencies, rng = plan_and_random
-    plan = earlier(dependencies)
+@given(GRAPHS)
+def test_the_graph_agrees_with_a_search_in_whichever_order_records_come(dependencies_and_random):
+    """Each job's record is read as open first, and later, at any time, as done or cancelled. As in the real
+    service, a job is done only after all its dependencies are."""
+    dependencies, rng = dependencies_and_random
+    dependencies_of = keep_earlier(dependencies)
     graph, observed, outcomes = DependencyGraph(), set(), {}
-    for _ in range(SIZE * 6):
-        number = rng.randrange(SIZE)
+    for _ in range(JOB_COUNT * 6):
+        number = rng.randrange(JOB_COUNT)
         if number not in observed:
             observed.add(number)
-            graph.observe(name(number), DependencyOutcome(outcomes.get(number, "open")))
+            graph.observe(job_id(number), DependencyOutcome(outcomes.get(number, "open")))
             if number not in outcomes:
-                graph.add(name(number), [name(other) for other in plan[number]])
+                graph.add(job_id(number), [job_id(dependency) for dependency in dependencies_of[number]])
         elif number not in outcomes and (
-            rng.random() < 0.3 or all(outcomes.get(other) == "done" for other in plan[number])
+            rng.random() < 0.3
+            or all(outcomes.get(dependency) == "done" for dependency in dependencies_of[number])
         ):
-            ready = all(outcomes.get(other) == "done" for other in plan[number])
+            ready = all(outcomes.get(dependency) == "done" for dependency in dependencies_of[number])
             outcomes[number] = "done" if ready and rng.random() < 0.7 else "aborted"
-            graph.observe(name(number), DependencyOutcome(outcomes[number]))
-        for other in observed:
-            if other in outcomes:
+            graph.observe(job_id(number), DependencyOutcome(outcomes[number]))
+        for job in observed:
+            if job in outcomes:
                 continue
-            known = {up: outcomes[up] for up in outcomes if up in observed}
-            assert graph.is_released(name(other)) == all(known.get(up) == "done" for up in plan[other])
-            # Through a job that is not known yet nothing can be concluded.
-            expected = cancelled(plan, known, observed, other)
-            assert graph.is_cancelled(name(other)) == expected
-            assert not (graph.is_cancelled(name(other)) and graph.is_released(name(other)))
+            known = {ended: outcomes[ended] for ended in outcomes if ended in observed}
+            assert graph.is_released(job_id(job)) == all(
+                known.get(dependency) == "done" for dependency in dependencies_of[job]
+            )
+            # An ancestor is found only through jobs with records that have been read.
+            expected = has_cancelled_ancestor(dependencies_of, known, observed, job)
+            assert graph.is_cancelled(job_id(job)) == expected
+            assert not (graph.is_cancelled(job_id(job)) and graph.is_released(job_id(job)))
 
 
-def cancelled(plan, known, observed, number):
+def has_cancelled_ancestor(dependencies_of, known, observed, number):
     return any(
-        known.get(up) == "aborted"
-        or (up in observed and up not in known and cancelled(plan, known, observed, up))
-        for up in plan[number]
+        known.get(dependency) == "aborted"
+        or (
+            dependency in observed
+            and dependency not in known
+            and has_cancelled_ancestor(dependencies_of, known, observed, dependency)
+        )
+        for dependency in dependencies_of[number]
     )
 
 
 @pytest.mark.parametrize("shape", ["chain", "fan out", "fan in", "layers"])
 def test_thousands_of_jobs_are_released_and_cancelled_in_time_that_grows_with_the_edges(shape):
-    """A chain of this length ends a recursive walk, and a walk of the whole graph at each record takes
-    minutes."""
-    size = 20_000
+    """Guards against a recursive traversal, which fails on a chain of this length, and against a traversal of
+    the whole graph for each record, which takes minutes."""
+    job_count = 20_000
     graph = DependencyGraph()
-    needs = {
+    dependencies_of = {
         "chain": lambda number: [number - 1] if number else [],
         "fan out": lambda number: [0] if number else [],
-        "fan in": lambda number: list(range(size - 1)) if number == size - 1 else [],
+        "fan in": lambda number: list(range(job_count - 1)) if number == job_count - 1 else [],
         "layers": lambda number: range(max(0, number - 5), number),
     }[shape]
-    began = time.process_time()
-    for number in range(size):
-        graph.observe(name(number), DependencyOutcome.OPEN)
-        graph.add(name(number), [name(other) for other in needs(number)])
-    assert not graph.is_released(name(size - 1))
-    for number in range(size // 2):
-        graph.observe(name(number), DependencyOutcome.DONE)
-    changed = graph.observe(name(size // 2), DependencyOutcome.CANCELLED)
-    assert time.process_time() - began < 10
+    started_at = time.process_time()
+    for number in range(job_count):
+        graph.observe(job_id(number), DependencyOutcome.OPEN)
+        graph.add(job_id(number), [job_id(dependency) for dependency in dependencies_of(number)])
+    assert not graph.is_released(job_id(job_count - 1))
+    for number in range(job_count // 2):
+        graph.observe(job_id(number), DependencyOutcome.DONE)
+    changed = graph.observe(job_id(job_count // 2), DependencyOutcome.CANCELLED)
+    assert time.process_time() - started_at < 10
     if shape == "fan out":
-        assert changed == set() and graph.is_released(name(size - 1))
+        assert changed == set() and graph.is_released(job_id(job_count - 1))
     else:
-        assert name(size - 1) in changed and graph.is_cancelled(name(size - 1))
-    assert len(changed) == {"chain": size // 2 - 1, "fan out": 0, "fan in": 1, "layers": size // 2 - 1}[shape]
+        assert job_id(job_count - 1) in changed and graph.is_cancelled(job_id(job_count - 1))
+    assert (
+        len(changed)
+        == {"chain": job_count // 2 - 1, "fan out": 0, "fan in": 1, "layers": job_count // 2 - 1}[shape]
+    )
 
 
-def record(number, state="open", dependencies=(), **fields):
-    job = spec(name(number))
+def record_put(number, state="open", dependencies=(), **fields):
+    job = spec(job_id(number))
     return Put(
-        job_key(name(number)), encode_value(JobRecord(state, job, 8, None, list(dependencies), **fields))
+        job_key(job_id(number)),
+        encode_value(JobRecord(state, job, 8, None, list(dependencies), **fields)),
     )
 
 
-def apply(views, *writes):
+def apply_writes(views, *writes):
     for mod_revision, write in enumerate(writes, 1):
         views.on_change(write.key, bytes(write.value), mod_revision)
 
 
 def test_a_job_whose_dependencies_are_not_all_read_waits():
-    """The list has keys of its own. A listing may show the record before them."""
+    """The lists have keys of their own, and a listing may contain the record without them."""
     views = JobViews()
-    apply(views, record(1, "done"), record(2, dependency_keys=2))
+    apply_writes(views, record_put(1, "done"), record_put(2, dependency_keys=2))
     assert not views.graph.is_released("job-2")
-    apply(views, Put(dependency_key("job-2", 0), encode_value(["job-1"])))
+    apply_writes(views, Put(dependency_key("job-2", 0), encode_value(["job-1"])))
     assert not views.graph.is_released("job-2")
-    apply(views, Put(dependency_key("job-2", 1), encode_value(["job-1"])))
+    apply_writes(views, Put(dependency_key("job-2", 1), encode_value(["job-1"])))
     assert views.graph.is_released("job-2")
-    # In a listing the lists come first.
+    # In a listing the lists come before the records.
     views = JobViews()
-    apply(views, Put(dependency_key("job-2", 0), encode_value(["job-1"])), record(2, dependency_keys=1))
+    apply_writes(
+        views, Put(dependency_key("job-2", 0), encode_value(["job-1"])), record_put(2, dependency_keys=1)
+    )
     assert not views.graph.is_released("job-2") and views.graph.has_dependents("job-1")
-    apply(views, record(1, "aborted"))
+    apply_writes(views, record_put(1, "aborted"))
     assert views.jobs["job-2"].state == "aborted" and views.jobs["job-2"].is_final
 
 
 @pytest.mark.parametrize("end", ["done", "aborted", "through another"])
 @pytest.mark.parametrize("read_again", [False, True], ids=["", "read again"])
 def test_the_lists_of_a_job_that_is_over_are_forgotten_and_its_view_is_kept(end, read_again):
-    """A list may name thousands of jobs. A listing shows it again, since its keys stay in the store."""
+    """The lists may name thousands of jobs. Their keys stay in the store, so a later listing contains them
+    again, and they must not be kept then either."""
     views = JobViews()
     lists = Put(dependency_key("job-2", 0), encode_value(["job-1"]))
     if end == "done":
-        apply(views, record(1, "done"), lists, record(2, dependency_keys=1), record(2, "done"))
+        apply_writes(
+            views, record_put(1, "done"), lists, record_put(2, dependency_keys=1), record_put(2, "done")
+        )
     elif end == "aborted":
-        apply(views, record(1), lists, record(2, dependency_keys=1), record(2, "aborted"))
+        apply_writes(views, record_put(1), lists, record_put(2, dependency_keys=1), record_put(2, "aborted"))
     else:
-        apply(views, record(1), record(3, dependencies=["job-1"]), lists, record(2, dependency_keys=1))
-        apply(views, record(1, "aborted"))
+        apply_writes(
+            views,
+            record_put(1),
+            record_put(3, dependencies=["job-1"]),
+            lists,
+            record_put(2, dependency_keys=1),
+        )
+        apply_writes(views, record_put(1, "aborted"))
         assert views.jobs["job-3"].record.dependencies == []
     if read_again:
-        apply(views, lists, record(2, end, dependency_keys=0) if end in ("done", "aborted") else lists)
+        apply_writes(
+            views, lists, record_put(2, end, dependency_keys=0) if end in ("done", "aborted") else lists
+        )
     assert not views.dependency_lists
     assert views.jobs["job-2"].state == ("done" if end == "done" else "aborted")
     assert views.jobs["job-2"].is_final
 
 
 def test_a_release_dates_from_the_end_of_the_last_dependency():
-    at = datetime(2026, 1, 1, tzinfo=UTC)
+    accepted_at = datetime(2026, 1, 1, tzinfo=UTC)
     views = JobViews()
-    accepted = JobRecord("open", spec("job-3"), 8, at, ["job-1", "job-2"])
-    apply(views, record(1, "done", finished_at=at + timedelta(seconds=9)), record(2, "done"))
-    apply(views, Put(job_key("job-3"), encode_value(accepted)))
-    assert views.released_at("job-3") == at + timedelta(seconds=9)
+    accepted = JobRecord("open", spec("job-3"), 8, accepted_at, ["job-1", "job-2"])
+    apply_writes(
+        views, record_put(1, "done", finished_at=accepted_at + timedelta(seconds=9)), record_put(2, "done")
+    )
+    apply_writes(views, Put(job_key("job-3"), encode_value(accepted)))
+    assert views.released_at("job-3") == accepted_at + timedelta(seconds=9)
 
 
 def test_a_subscriber_is_called_once_for_each_release_and_cancellation():
     views, notified = JobViews(), []
     views.subscribe(notified.append)
-    apply(views, record(1), record(2, dependencies=["job-1"]), record(3, dependencies=["job-2"]))
+    apply_writes(
+        views, record_put(1), record_put(2, dependencies=["job-1"]), record_put(3, dependencies=["job-2"])
+    )
     notified.clear()
-    views.on_change(job_key("job-1"), bytes(record(1, "done").value), 9)
+    views.on_change(job_key("job-1"), bytes(record_put(1, "done").value), 9)
     assert notified == ["job-2"]
-    views.on_change(job_key("job-2"), bytes(record(2, "aborted").value), 10)
+    views.on_change(job_key("job-2"), bytes(record_put(2, "aborted").value), 10)
     assert notified == ["job-2", "job-3"]
-    views.on_change(job_key("job-2"), bytes(record(2, "aborted").value), 11)
+    views.on_change(job_key("job-2"), bytes(record_put(2, "aborted").value), 11)
     assert notified == ["job-2", "job-3"]
 
 
-# What users are answered.
+# Responses to users.
 
 
 def submit(service, id, awaits=None, **changes):
     fields = {"ref": id} | changes
     if awaits is not None:
         fields["awaits"] = awaits
-    return service.ask("POST", "/submissions", encode(**fields))[0]
+    return service.send("POST", "/submissions", encode(**fields))[0]
 
 
-def state(service, id):
-    answer = service.ask("GET", f"/submissions/{id}")[0]
+def job_state(service, id):
+    answer = service.send("GET", f"/submissions/{id}")[0]
     return json.loads(answer.body)["stage"] if answer.status == 200 else answer.status
 
 
@@ -205,7 +236,8 @@
     service = FakeStateService()
     assert submit(service, "job-1").status == 201
     assert submit(service, "job-2", awaits).status == 400
-    # The repetition of an accepted submission is answered by the job's state, whatever its body holds.
+    # A repeated submission of an accepted job is answered with the job's state, whatever its body
+    # contains.
     assert submit(service, "job-1", awaits).status == 200
 
 
@@ -213,13 +245,13 @@
 def test_a_job_without_dependencies_is_released_at_once(awaits):
     service = FakeStateService()
     body = encode(ref="job-1", awaits=awaits)
-    assert service.ask("POST", "/submissions", body)[0].status == 201
+    assert service.send("POST", "/submissions", body)[0].status == 201
     assert service.views.graph.is_released("job-1")
 
 
 def test_a_record_without_dependencies_is_written_without_their_fields():
-    at = datetime(2026, 1, 1, tzinfo=UTC)
-    value = json.loads(bytes(encode_value(JobRecord("open", decode_submission(encode()), 8, at))))
+    accepted_at = datetime(2026, 1, 1, tzinfo=UTC)
+    value = json.loads(bytes(encode_value(JobRecord("open", decode_submission(encode()), 8, accepted_at))))
     assert list(value) == ["stage", "spec", "chunk", "accepted"]
     assert "awaits" not in value["spec"]
 
@@ -228,8 +260,8 @@
     service = FakeStateService()
     assert submit(service, "job-2", ["job-1"]).status == 422
     assert submit(service, "job-2", ["job-2"]).status == 422
-    # Accepted elsewhere a moment ago: this controller is only behind.
-    service.write([record(1)])
+    # A peer accepted the dependency a moment ago, and this replica is behind.
+    service.write([record_put(1)])
     service.reachable = False
     assert submit(service, "job-2", ["job-1"]).status == 503
     service.reachable = True
@@ -251,17 +283,18 @@
     submit(service, "job-1")
     submit(service, "job-2", ["job-1"])
     submit(service, "job-3", ["job-2"])
-    assert state(service, "job-3") == "pending"
+    assert job_state(service, "job-3") == "pending"
     writes = service.revision
     assert service.status("POST", "/submissions/job-1/abort") == 200
-    assert (state(service, "job-2"), state(service, "job-3")) == ("aborted", "aborted")
-    # One that names it later is accepted all the same.
+    assert (job_state(service, "job-2"), job_state(service, "job-3")) == ("aborted", "aborted")
+    # A job that is submitted later with a cancelled dependency is accepted all the same.
     late = submit(service, "job-4", ["job-3"])
     assert late.status == 201 and b"aborted" in late.body
-    # Neither that nor the cancellation of one of them writes, and final states need no state service.
+    # The cancellation of a descendant writes nothing, and a final state is reported without the state
+    # service.
     service.reachable = False
-    assert b"aborted" in service.ask("POST", "/submissions/job-3/abort")[0].body
-    assert state(service, "job-4") == "aborted"
+    assert b"aborted" in service.send("POST", "/submissions/job-3/abort")[0].body
+    assert job_state(service, "job-4") == "aborted"
     assert service.revision == writes + 2
 
 
@@ -269,9 +302,9 @@
     service = FakeStateService()
     submit(service, "job-1")
     submit(service, "job-2", ["job-1"])
-    service.write([record(1, "done")])
-    assert b"done" in service.ask("POST", "/submissions/job-1/abort")[0].body
-    assert state(service, "job-2") == "pending" and service.views.graph.is_released("job-2")
+    service.write([record_put(1, "done")])
+    assert b"done" in service.send("POST", "/submissions/job-1/abort")[0].body
+    assert job_state(service, "job-2") == "pending" and service.views.graph.is_released("job-2")
 
 
 @pytest.mark.parametrize(
@@ -287,7 +320,7 @@
     assert all(len(write.value) <= limits.value_bytes for write in writes)
     views, shuffled = JobViews(), list(writes)
     random.Random(count).shuffle(shuffled)
-    apply(views, *shuffled)
+    apply_writes(views, *shuffled)
     assert not views.graph.is_released("job-999999")
     for number, dependency in enumerate(names):
         assert not views.graph.is_released("job-999999")
@@ -316,16 +349,16 @@
 
 
 def test_the_graph_forgets_pipelines_that_are_over():
-    """Each later pass over all members would look at every job that was ever cancelled."""
+    """Otherwise each later pass over all members would visit every job that was ever cancelled."""
     graph = DependencyGraph()
-    for last in (DependencyOutcome.DONE, DependencyOutcome.CANCELLED):
-        first, second, third = (f"job-{last.value}-{place}" for place in range(3))
-        for job, needs in ((first, []), (second, [first]), (third, [first, second])):
+    for first_outcome in (DependencyOutcome.DONE, DependencyOutcome.CANCELLED):
+        first, second, third = (f"job-{first_outcome.value}-{number}" for number in range(3))
+        for job, dependencies in ((first, []), (second, [first]), (third, [first, second])):
             graph.observe(job, DependencyOutcome.OPEN)
-            graph.add(job, needs)
+            graph.add(job, dependencies)
         assert len(graph.members()) == 3
-        graph.observe(first, last)
+        graph.observe(first, first_outcome)
         graph.observe(second, DependencyOutcome.CANCELLED)
         assert not graph.members() and graph.is_cancelled(third) and not graph.is_released(third)
-        # One that names a cancelled job later leaves nothing either.
+        # A later job with a cancelled dependency is not kept among the members either.
         assert graph.add(f"{third}-late", [third]) == {f"{third}-late"} and not graph.members()
--- a/spindleglade/submissions/test_messages.py
+++ b/spindleglade/submissions/test_messages.py
@@ -1,4 +1,4 @@
-"""Which submissions are decoded, and which of them can run."""
+"""Tests of the decoding and the schedulability of submissions."""
 
 import json
 
@@ -12,7 +12,7 @@
 from spindleglade.submissions.messages import decode_job_reference, decode_submission
 from spindleglade.submissions.schedulability import MachineShape, check_schedulable
 
-GOOD = {
+VALID_SUBMISSION = {
     "ref": "job-000412",
     "bobbin": "train",
     "crew": "vision",
@@ -39,11 +39,11 @@
 
 TEAMS = {"vision": Team("vision", 100.0, 200.0, 8.0, 16.0)}
 
-OPTIONAL = ("frames", "glade", "due_s")
+OPTIONAL_FIELDS = ("frames", "glade", "due_s")
 
 
 def encode(**changes):
-    return json.dumps(GOOD | changes).encode()
+    return json.dumps(VALID_SUBMISSION | changes).encode()
 
 
 # A job whose record takes more than 2 KiB.
@@ -62,21 +62,21 @@
     check_schedulable(job, TEAMS, SHAPES)
 
 
-@pytest.mark.parametrize("field", GOOD)
+@pytest.mark.parametrize("field", VALID_SUBMISSION)
 def test_every_field_is_required_but_those_that_may_be_null(field):
-    without = {key: value for key, value in GOOD.items() if key != field}
-    if field in OPTIONAL:
-        assert decode_submission(json.dumps(without).encode()) == decode_submission(encode(**{field: None}))
+    fields = {key: value for key, value in VALID_SUBMISSION.items() if key != field}
+    if field in OPTIONAL_FIELDS:
+        assert decode_submission(json.dumps(fields).encode()) == decode_submission(encode(**{field: None}))
         return
     with pytest.raises((msgspec.DecodeError, ValueError)):
-        decode_submission(json.dumps(without).encode())
+        decode_submission(json.dumps(fields).encode())
 
 
-BAD_NUMBERS = ["-1", "true", "NaN", "Infinity", "1e400", '"8"', "[]", "1e12"]
+INVALID_NUMBERS = ["-1", "true", "NaN", "Infinity", "1e400", '"8"', "[]", "1e12"]
 
 
 @pytest.mark.parametrize("field", ["threads", "vcpus", "mem_gb", "reckon_s", "due_s", "size_gb"])
-@pytest.mark.parametrize("number", BAD_NUMBERS)
+@pytest.mark.parametrize("number", INVALID_NUMBERS)
 def test_invalid_numbers_are_refused(field, number):
     text = encode(**{field: "@"}).replace(b'"@"', number.encode())
     with pytest.raises(msgspec.DecodeError):
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("start", [b"{", encode()[:-1] + b","], ids=["alone", "after all fields"])
 def test_a_body_nested_too_deeply_is_malformed(start):
-    """A 503 would make users retry it."""
+    """With a response of status 503, users would retry the submission."""
     body = start + b'"x":' + b"[" * 30_000
     with pytest.raises(msgspec.DecodeError):
         decode_submission(body)
--- a/spindleglade/submissions/test_records.py
+++ b/spindleglade/submissions/test_records.py
@@ -1,4 +1,4 @@
-"""The records of jobs and task ranges as they are stored."""
+"""Tests of the stored records of jobs and task ranges."""
 
 import msgspec
 import pytest
@@ -45,17 +45,19 @@
 
 @pytest.mark.parametrize("value_kb", [0.5, 4.0, 16.0, 64.0])
 def test_the_longest_task_range_fits_into_a_value(value_kb):
-    size = tasks_per_range(StateLimits(100.0, 40.0, value_kb, 12).value_bytes)
-    longest = StoredAttempt(1 << 32, "n-0000000000000000", 1 << 32)
-    range_record = TaskRangeRecord(placed={99_999 - task: longest for task in range(size)})
+    range_size = tasks_per_range(StateLimits(100.0, 40.0, value_kb, 12).value_bytes)
+    longest_attempt = StoredAttempt(1 << 32, "n-0000000000000000", 1 << 32)
+    range_record = TaskRangeRecord(placed={99_999 - task: longest_attempt for task in range(range_size)})
     assert len(encode_value(range_record)) <= value_kb * 1024
     assert split_range_key(range_key("job-1", 390)) == ("job-1", 390)
 
 
 def test_a_final_record_is_shortened_only_where_it_must_be():
     record = JobRecord("open", decode_submission(LARGE), 8)
-    whole = msgspec.structs.replace(record, state="done")
+    unshortened = msgspec.structs.replace(record, state="done")
     assert (
-        final_record(record, "done", None) == whole == final_record(record, "done", len(encode_value(whole)))
+        final_record(record, "done", None)
+        == unshortened
+        == final_record(record, "done", len(encode_value(unshortened)))
     )
     assert len(encode_value(final_record(record, "done", 1843))) <= 1843
--- a/spindleglade/submissions/test_task_ranges.py
+++ b/spindleglade/submissions/test_task_ranges.py
@@ -1,4 +1,4 @@
-"""The boundaries of a job's values, against their definition."""
+"""Tests of the boundaries between task ranges against their definition."""
 
 import pytest
 from hypothesis import given
--- a/spindleglade/submissions/test_views.py
+++ b/spindleglade/submissions/test_views.py
@@ -1,4 +1,4 @@
-"""The views of jobs, from the changes of a replica."""
+"""Tests of the job views that are derived from the changes of a replica."""
 
 import pytest
 
@@ -40,8 +40,9 @@
 
 @pytest.mark.parametrize("order", [(0, 1, 2), (1, 0, 2), (1, 2, 0)])
 def test_a_view_is_the_same_in_whichever_order_its_records_come(order):
-    """A listing reads the jobs before the task ranges, so it may hold the range of a job that was accepted
-    between the two. Its revision is known then, so the range does not come again."""
+    """A listing reads the job records before the task ranges, so it may contain a range of a job that was
+    accepted in between. The job's record follows as a change, but the range does not come again, because the
+    replica has already applied it at its revision."""
     views = JobViews()
     for number in order:
         kind, record = CHANGES[number]
@@ -49,7 +50,7 @@
         views.on_change(key, encode_value(record), number + 1)
     view = views.jobs["job-000412"]
     assert (view.state, view.done_count, view.running) == ("running", 3, 2)
-    # Ranges that are removed before their job is known leave nothing behind.
+    # A range that is removed before its job is known is forgotten.
     views.on_change(range_key("job-2", 0), encode_value(TaskRangeRecord([(0, 1)])), 5)
     views.on_change(range_key("job-2", 0), None, 6)
     assert not views.ranges_of_unknown_jobs
