--- a/spindleglade/fleet/__init__.py
+++ b/spindleglade/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The machines of the cloud: their types, provisioning, listing and termination."""
+"""The autoscaler and the client of the cloud: machine types, provisioning, listing and termination."""
--- a/spindleglade/fleet/autoscaler.py
+++ b/spindleglade/fleet/autoscaler.py
@@ -1,4 +1,4 @@
-"""The autoscaler of the leader: composes scale-out, scale-in, the machine list and the health probes."""
+"""The autoscaler, which runs on the leader: scale-out, scale-in, the machine list and health probes."""
 
 from collections.abc import Callable
 from functools import partial
@@ -21,12 +21,12 @@
 from spindleglade.runtime.clock import seconds, sleep
 from spindleglade.runtime.periodic_task import PeriodicTask
 
-# Between two scaling passes.
+# Time between two scaling passes.
 SCALING_INTERVAL = seconds(0.5)
 
 
 class Autoscaler:
-    """Scales the fleet in passes, and owns the state that its parts share."""
+    """Runs periodic scaling passes and owns the state that the scaling components share."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         connections: WorkerConnections,
         on_changed: Callable[[], None],
     ) -> None:
-        limits = SilenceLimits.of(context)
+        limits = SilenceLimits.from_context(context)
         settings = context.settings
         self._cluster = context.cluster
         self._clock = context.clock
@@ -63,24 +63,24 @@
         )
 
     def start(self) -> None:
-        """Begins to read the machine list and to scale."""
+        """Starts to read the machine list and to scale periodically."""
         for task in self._tasks:
             task.start()
 
     def stop(self) -> None:
-        """Ends all passes; nothing more is requested of the cloud."""
+        """Stops all passes and the retries of requests to the cloud."""
         self._state.stopped = True
         for task in self._tasks:
             task.stop()
 
     @property
     def stall_reason(self) -> str | None:
-        """Why machines are not managed, if so."""
+        """Why a periodic task makes no progress, so that machines are not managed; None if all do."""
         return next((task.stall_reason for task in self._tasks if task.stall_reason), None)
 
     @property
     def summary(self) -> str:
-        """What is on its way and what keeps machines from being provisioned, for the log."""
+        """What is booting or requested and what prevents provisioning, as `key=value` pairs for the log."""
         backed_off = self._capacity_backoff.count_backed_off(self._clock.now())
         return (
             f"machines_booting={len(self._state.booting)} "
@@ -90,35 +90,34 @@
 
     @property
     def needs_headroom(self) -> bool:
-        """Whether work has to start sooner than a machine boots, so that machines are kept ready."""
+        """Whether work must start sooner than a machine boots, so that spare machines are kept running."""
         return self._headroom.is_needed
 
     @property
     def is_unreachable_for_machines(self) -> bool:
-        """Whether this controller's messages reach none or few of the machines, so that another controller
-        would lead better."""
+        """Whether this controller's messages reach so few machines that another controller should lead."""
         return self._health_probes.is_controller_unreachable
 
     def on_plan(self, plan: Plan) -> None:
-        """Takes over what the latest plan could not place, and what will be free soon."""
+        """Takes over the unplaced demand, the spare capacity and the expected releases of the latest plan."""
         self._headroom.on_plan(plan)
         self._scale_out.on_plan(plan)
 
     async def _scale(self) -> None:
-        """One scaling pass."""
+        """Runs one scaling pass."""
         now = self._clock.now()
         self._forget_booted_machines()
         self._health_probes.is_controller_unreachable = False
         if not self._is_leadership_proven():
-            # The cloud knows no tokens and obeys any controller. A leader that was suspended, and does not
-            # know of its successor yet, would terminate every machine as silent.
+            # The cloud does not check fencing tokens and obeys any controller. A leader that was suspended
+            # and does not know of its successor yet would terminate every machine as silent.
             return
         self._health_probes.run(now)
         self._scale_in.run(now)
         self._scale_out.run(now)
 
     def _forget_booted_machines(self) -> None:
-        """A machine whose worker has reported is one of the cluster's, no longer a booting one."""
+        """Drops the booting machines that the cluster state knows, since their workers have reported."""
         booting = self._state.booting
         with self._cluster.lock:
             for name in [name for name in booting if name in self._cluster.machines]:
--- a/spindleglade/fleet/client.py
+++ b/spindleglade/fleet/client.py
@@ -1,4 +1,4 @@
-"""Client of the cloud, by its published protocol: machine types, provisioning, termination, listing."""
+"""Client of the cloud's published API: machine types, provisioning, termination and the machine list."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -26,24 +26,24 @@
 from spindleglade.runtime.clock import Clock, sleep
 from spindleglade.store.token_bucket import TokenBucket
 
-# What the cloud accepts in one request.
+# Maximum numbers of machines that the cloud accepts in one request.
 MAX_PROVISIONED_PER_REQUEST = 50
 MAX_TERMINATED_PER_REQUEST = 100
 # Machines in one page of the machine list.
 MACHINES_PER_PAGE = 500
-# Share of the request rate that the leader, which makes nearly all requests, may use steadily.
+# Share of the cloud's rate limit that a controller may use steadily. The leader makes nearly all requests.
 SUSTAINED_SHARE_OF_RATE = 0.8
 
 HTTP_OK = 200
 HTTP_SERVICE_UNAVAILABLE = 503
-# What the cloud's answer contains if it has no machine of the requested machine pool.
+# Part of the response body if the cloud has no machine of the requested machine pool.
 NO_CAPACITY_MARKER = b"no capacity"
 
 Message = TypeVar("Message")
 
 
 class CloudClient:
-    """Requests to the cloud, within its rate limit. Each call raises a `CloudError` if it fails."""
+    """Sends requests to the cloud within its rate limit. Each method raises a `CloudError` if it fails."""
 
     def __init__(self, http: Requester, address: str, clock: Clock, rps: float, timeout: timedelta) -> None:
         self._http = http
@@ -53,29 +53,35 @@
         self._request_tokens = TokenBucket(clock, rps * SUSTAINED_SHARE_OF_RATE, rps)
 
     async def list_machine_types(self) -> list[MachineType]:
-        """All machine types of the cloud."""
+        """Reads all machine types of the cloud."""
         body = await self._call("GET", "/machine_types")
         return _decode("GET /machine_types", body, MachineTypeList).types
 
     async def provision(self, request: ProvisionRequest, is_allowed: Callable[[], bool]) -> list[str]:
-        """Names of the machines provisioned, which may be fewer than requested. `is_allowed` is asked when
-        the request is about to be sent."""
+        """Provisions machines and returns their names, which may be fewer than requested.
+
+        `is_allowed` is called just before the request is sent; if it returns False, the request is not sent
+        and `LeadershipUnprovenError` is raised.
+        """
         body = await self._call("POST", "/hosts", request, is_allowed)
         return _decode("POST /hosts", body, ProvisionResponse).machines
 
     async def terminate(self, names: list[str], is_allowed: Callable[[], bool]) -> None:
-        """Terminates the machines; when it returns, they and all on them are gone. `is_allowed` is asked when
-        the request is about to be sent."""
+        """Terminates the machines. Once it returns, the machines and everything on them are gone.
+
+        `is_allowed` is called just before the request is sent; if it returns False, the request is not sent
+        and `LeadershipUnprovenError` is raised.
+        """
         await self._call("POST", "/hosts/release", TerminateRequest(names), is_allowed)
 
     async def list_machines(self) -> list[ListedMachine]:
-        """All machines of this deployment, page by page; the list may lag behind."""
+        """Reads the list of all machines of this deployment, page by page. The list may lag behind."""
         machines: list[ListedMachine] = []
         path = f"/hosts?page={MACHINES_PER_PAGE}"
         while True:
             page = _decode(f"GET {path}", await self._call("GET", path), MachinePage)
             machines.extend(page.machines)
-            if not page.more or not page.machines:
+            if not page.has_more or not page.machines:
                 return machines
             path = f"/hosts?page={MACHINES_PER_PAGE}&since={page.machines[-1].name}"
 
@@ -86,7 +92,7 @@
         message: msgspec.Struct | None = None,
         is_allowed: Callable[[], bool] | None = None,
     ) -> bytes:
-        """The body of the answer, if the request was carried out."""
+        """Sends a request and returns the body of the response if the request was carried out."""
         operation = f"{method} {path}"
         delay = self._request_tokens.reserve()
         if delay:
@@ -105,7 +111,7 @@
 
 
 def _check_status(operation: str, response: ClientResponse) -> None:
-    """Raises the error that the status of the answer stands for, if any."""
+    """Raises the error that corresponds to the status of the response, if any."""
     if response.status == HTTP_SERVICE_UNAVAILABLE and NO_CAPACITY_MARKER in response.body:
         raise InsufficientCapacityError(operation=operation, status=response.status)
     if response.status != HTTP_OK:
@@ -116,4 +122,4 @@
     try:
         return msgspec.json.decode(body, type=message_type)
     except msgspec.DecodeError as error:
-        raise CloudTimeoutError(f"malformed answer: {error}", operation) from error
+        raise CloudTimeoutError(f"malformed response: {error}", operation) from error
--- a/spindleglade/fleet/errors.py
+++ b/spindleglade/fleet/errors.py
@@ -1,7 +1,7 @@
 """Errors of requests to the cloud.
 
-Callers must tell two outcomes of a failed request apart: `CloudRequestRejectedError`, it was certainly not
-carried out, and `CloudTimeoutError`, it may have been, or may still be.
+Callers must distinguish two outcomes of a failed request. After a `CloudRequestRejectedError`, it was
+certainly not carried out. After a `CloudTimeoutError`, it may have been carried out, or may still be.
 """
 
 from spindleglade.http.errors import ServiceRequestError
@@ -12,7 +12,7 @@
 
 
 class CloudRequestRejectedError(CloudError):
-    """The request was not carried out: refused, or never sent."""
+    """The request was rejected or never sent, so it was not carried out."""
 
     default_reason = "not carried out"
 
@@ -24,12 +24,12 @@
 
 
 class CloudTimeoutError(CloudError):
-    """No usable answer: the request may have been carried out, or may still be."""
+    """There was no usable response. The request may have been carried out, or may still be."""
 
     default_reason = "outcome unknown"
 
 
 class LeadershipUnprovenError(CloudError):
-    """The request was not sent, since its caller could not prove its leadership when its turn came."""
+    """The request was not sent because the leadership could not be proven when it was about to be sent."""
 
     default_reason = "leadership unproven"
--- a/spindleglade/fleet/machine_list.py
+++ b/spindleglade/fleet/machine_list.py
@@ -1,4 +1,4 @@
-"""Follows the cloud's machine list: adopts machines, terminates failed ones, introduces the leader."""
+"""Reads the cloud's machine list: adopts machines, terminates failed ones and introduces the leader."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -16,24 +16,24 @@
 
 log = logging.getLogger("spindleglade.fleet")
 
-# The incarnation in which a worker without tasks is addressed.
+# Incarnation with which a worker is addressed if no task is placed there.
 FIRST_INCARNATION = 1
 
 
 @dataclass(frozen=True, slots=True)
 class _KnownMachines:
-    """What the cluster state knows of machines, by name."""
+    """The machines that the cluster state knows, by name."""
 
     present: set[str]
     terminated: set[str]
-    # Their workers know this leader.
+    # Machines whose workers have acknowledged this leader's token.
     acknowledged: set[str]
-    # The latest incarnation in which tasks were placed there.
+    # Machine name to the latest incarnation of the attempts placed there; only machines with attempts.
     incarnations: dict[str, int]
 
     @classmethod
-    def of(cls, cluster: ClusterState) -> "_KnownMachines":
-        """What the cluster state knows now."""
+    def from_cluster(cls, cluster: ClusterState) -> "_KnownMachines":
+        """Copies what the cluster state knows now."""
         with cluster.lock:
             machines = cluster.machines.values()
             return cls(
@@ -49,7 +49,7 @@
 
 
 class MachineListReader:
-    """Reads the machine list and acts by it."""
+    """Reads the machine list and updates the cluster state and the fleet state by it."""
 
     def __init__(
         self,
@@ -67,24 +67,28 @@
         self._state = state
         self._termination = termination
         self._introduce_leader = introduce_leader
-        # Names of the machines whose workers have been told who leads.
+        # Names of the machines whose workers have been told which controller leads.
         self._introduced: set[str] = set()
 
     async def read(self) -> None:
-        """One pass: reads the list and applies it."""
+        """Runs one pass: reads the list and applies it."""
         try:
             self.apply(await self._cloud.list_machines())
         except CloudError as error:
             log.info("machine list not read reason=%s", error)
 
     def apply(self, listed: list[ListedMachine]) -> None:
-        """Acts by a list that has been read."""
+        """Introduces the leader to listed machines, adopts unknown ones and terminates failed ones."""
         now = self._clock.now()
         types = {machine_type.name: machine_type for machine_type in self._supply.types()}
-        known = _KnownMachines.of(self._cluster)
+        known = _KnownMachines.from_cluster(self._cluster)
         current = [machine for machine in listed if machine.name not in self._state.terminating]
         self._cluster.observe_listed_machines(
-            [MachineLocation(item.name, item.address, item.zone) for item in current if _is_running(item)]
+            [
+                MachineLocation(machine.name, machine.address, machine.zone)
+                for machine in current
+                if _is_running(machine)
+            ]
         )
         for machine in current:
             self._introduce_leader_to(machine, known)
@@ -94,7 +98,7 @@
             self._termination.terminate(failed)
 
     def _introduce_leader_to(self, machine: ListedMachine, known: _KnownMachines) -> None:
-        """Tells a running machine's worker who leads, once, unless it knows already."""
+        """Tells the worker of a running machine which controller leads, once and unless it knows already."""
         name = machine.name
         if not _is_running(machine) or name in known.acknowledged or name in known.terminated:
             return
@@ -105,8 +109,8 @@
     def _adopt(
         self, machine: ListedMachine, known: _KnownMachines, types: dict[str, MachineType], now: timedelta
     ) -> None:
-        """Keeps as booting a machine that a previous leader provisioned, or a request that was given up. It
-        reports, or is terminated for booting too long."""
+        """Records a machine as booting that was provisioned by a previous leader or by a request that was
+        given up. The machine then sends a heartbeat or is terminated with a boot timeout."""
         name = machine.name
         if machine.state == MachineState.FAILED or name in known.present or name in known.terminated:
             return
--- a/spindleglade/fleet/machine_pool.py
+++ b/spindleglade/fleet/machine_pool.py
@@ -1,4 +1,4 @@
-"""Machine pools: what the cloud has or lacks capacity of."""
+"""Machine pools, the units by which the cloud has or lacks capacity, and the offers of machines from them."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class MachinePool(NamedTuple):
-    """All machines of one type, in one zone, that are spot or on-demand."""
+    """All machines of one type in one zone that are either spot or on-demand."""
 
     type: str
     zone: str
@@ -16,16 +16,16 @@
 
 @dataclass(slots=True)
 class MachineOffer:
-    """A machine that may be requested now."""
+    """A machine pool that may be requested now, with what the choice between pools depends on."""
 
     type: MachineType
     zone: str
     spot: bool
-    # Machines already in its zone, booting ones too.
+    # Number of machines in the zone, including those that are booting or requested.
     machines_in_zone: int = 0
-    # No heartbeat arrives from its zone.
+    # Whether the zone is partitioned from this controller.
     zone_partitioned: bool = False
-    # The machine pool it comes from; looked at for each job and machine, so it is kept.
+    # The machine pool, computed once because it is read for each job and machine.
     pool: MachinePool = field(init=False)
 
     def __post_init__(self) -> None:
@@ -33,5 +33,5 @@
 
     @property
     def price(self) -> float:
-        """The price of the machine type, spot or on-demand."""
+        """The spot or on-demand price of the machine type."""
         return self.type.spot_price if self.spot else self.type.price
--- a/spindleglade/fleet/machine_types.py
+++ b/spindleglade/fleet/machine_types.py
@@ -1,6 +1,6 @@
-"""The machine types a controller knows: read from the cloud, and shared through the state service.
+"""The machine types that a controller knows, read from the cloud and shared through the state service.
 
-A controller that starts while the cloud does not answer still knows the types from the stored copy.
+A controller that starts while the cloud does not respond gets the types from the stored copy.
 """
 
 import logging
@@ -23,17 +23,18 @@
 
 log = logging.getLogger("spindleglade.fleet")
 
-# What does not fit into the first value, one key after the other; the version before reads the first alone.
+# Prefix of the numbered keys of the types that do not fit into the value of the first key. The previous
+# version reads only the first key.
 MORE_TYPES = TYPES + "/"
 
-# Between two attempts to read the types while none are known: nothing can be accepted until then.
+# Time between two attempts to read the types while none are known, since no job can be accepted without them.
 UNKNOWN_TYPES_RETRY_DELAY = seconds(1)
-# The lowest rate at which images are taken to be fetched, so that fetching ends.
+# Lower bound of the assumed rate of image pulls, so that the estimated duration is finite.
 MIN_PULL_GB_PER_S = 1e-3
 
 
 class MachineTypeCatalog:
-    """Keeps the machine types up to date: the leader's from the cloud, the others' from the store."""
+    """Keeps the machine types up to date, on the leader from the cloud and on followers from the store."""
 
     def __init__(
         self,
@@ -51,22 +52,22 @@
         self._refresh_interval = seconds(refresh_interval_s)
         self._is_leader = is_leader
         self.types: list[MachineType] = []
-        # What the store holds, by key.
+        # The types in the state service, by key.
         self._stored_types: dict[str, list[MachineType]] = {}
         replica.subscribe(self.on_change)
 
     def on_change(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        """Takes over the types of a stored value that has changed."""
+        """Takes over the types from a stored value that has changed."""
         if value is None or not (key == TYPES or key.startswith(MORE_TYPES)):
             return
         self._stored_types[key] = msgspec.json.decode(value, type=MachineTypeList).types
-        # The first is written with or after the others: with it all are known.
+        # The first key is written together with the others or after them, so once it is there all types are.
         if TYPES in self._stored_types and not self._is_leader():
             keys = sorted(self._stored_types, key=lambda stored: (len(stored), stored))
             self.types = [entry for stored in keys for entry in self._stored_types[stored]]
 
     def machine_shapes(self) -> list[MachineShape] | None:
-        """What submissions are checked against; None while no types are known."""
+        """The machine shapes that submissions are checked against; None while no types are known."""
         if not self.types:
             return None
         return [
@@ -75,11 +76,11 @@
         ]
 
     def capacities(self) -> dict[str, MachineTypeCapacity]:
-        """What machines of each type have, by the name of the type."""
+        """The capacity of a machine of each type, by the name of the type."""
         return {entry.name: _capacity_of(entry) for entry in self.types}
 
     def start(self) -> None:
-        """Begins to read the types from the cloud, again and again."""
+        """Starts to read the types from the cloud periodically."""
         run_forever(self._clock, self._run, "machine types")
 
     async def _run(self) -> None:
@@ -104,9 +105,9 @@
             await self._store(types)
 
     async def _store(self, types: list[MachineType]) -> None:
-        """Writes the types once, in as many values as it takes. The value that all versions read comes last,
-        and as many types as fit are in it."""
-        puts = _puts(types, self._client.limits.value_bytes)
+        """Writes the types, in as many values as needed, under the keys that do not exist yet. The value that
+        all versions read is written last and contains as many types as fit."""
+        puts = _encode_types(types, self._client.limits.value_bytes)
         missing = [put for put in reversed(puts) if put.key not in self._replica.mod_revisions]
         max_operations = self._client.limits.operations
         try:
@@ -130,8 +131,8 @@
     )
 
 
-def _puts(types: list[MachineType], value_bytes: int) -> list[Put]:
-    """The values to be stored, the one that all versions read first."""
+def _encode_types(types: list[MachineType], value_bytes: int) -> list[Put]:
+    """The values to be stored, beginning with the one that all versions read."""
     return [
         Put(f"{MORE_TYPES}{number}" if number else TYPES, encode_value(MachineTypeList(group)))
         for number, group in enumerate(split_into_values(types, value_bytes))
@@ -139,7 +140,10 @@
 
 
 def split_into_values(types: list[MachineType], value_bytes: int) -> list[list[MachineType]]:
-    """The types in order, as many to a value as fit."""
+    """Splits the types, in order, into groups that each fit into one value of at most `value_bytes` bytes.
+
+    A type that is too large for a value forms a group of its own.
+    """
     groups: list[list[MachineType]] = [[]]
     for entry in types:
         if groups[-1] and len(encode_value(MachineTypeList([*groups[-1], entry]))) > value_bytes:
--- a/spindleglade/fleet/messages.py
+++ b/spindleglade/fleet/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the controllers and the cloud, by its published protocol."""
+"""Messages of the cloud's published API."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class MachineState(StrEnum):
-    """The states of a listed machine that mean something here; the cloud may name others."""
+    """The states of a listed machine that the controllers handle. The cloud may report others."""
 
     STARTING = "starting"
     RUNNING = "running"
@@ -14,7 +14,7 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """A machine type: what it has, what it costs, how long it boots, and in which zones it exists."""
+    """A machine type: its resources, prices, boot time and the zones in which it is available."""
 
     name: str
     cpus: float = msgspec.field(name="vcpus")
@@ -29,13 +29,13 @@
 
 
 class MachineTypeList(msgspec.Struct, frozen=True):
-    """All machine types."""
+    """The list of all machine types."""
 
     types: list[MachineType] = msgspec.field(name="frames")
 
 
 class ProvisionRequest(msgspec.Struct, frozen=True):
-    """A request for machines of one machine pool. Sent again with its id, it brings the same machines."""
+    """A request for machines of one machine pool. A retry with the same id returns the same machines."""
 
     request_id: str = msgspec.field(name="ask")
     type: str = msgspec.field(name="frame")
@@ -45,7 +45,7 @@
 
 
 class ProvisionResponse(msgspec.Struct, frozen=True):
-    """The names of the machines provisioned: as many as were requested, or fewer."""
+    """The names of the provisioned machines, which may be fewer than requested."""
 
     machines: list[str] = msgspec.field(name="spindles")
 
@@ -64,7 +64,7 @@
     type: str = msgspec.field(name="frame")
     zone: str = msgspec.field(name="glade")
     spot: bool = msgspec.field(name="windfall")
-    # A `MachineState`, or one that this version does not know.
+    # A `MachineState`, or a state that this version does not know.
     state: str = msgspec.field(name="stage")
     age_s: float = msgspec.field(name="held_s")
 
@@ -73,4 +73,4 @@
     """One page of the machine list."""
 
     machines: list[ListedMachine] = msgspec.field(name="spindles")
-    more: bool = msgspec.field(name="has_next", default=False)
+    has_more: bool = msgspec.field(name="has_next", default=False)
--- a/spindleglade/fleet/parameters.py
+++ b/spindleglade/fleet/parameters.py
@@ -1,4 +1,4 @@
-"""What the autoscaler and its parts are constructed with."""
+"""The parameters with which the autoscaler and its components are constructed."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -11,23 +11,24 @@
 from spindleglade.workers.cluster_state import ClusterState
 from spindleglade.workers.machines import Machine
 
-# A machine has missed heartbeats when it was silent for this many intervals and the tolerance.
-MISSED_HEARTBEATS = 2
+# A machine is probed after it has been silent for this many heartbeat intervals plus the tolerance.
+MISSED_HEARTBEATS_BEFORE_PROBE = 2
 HEARTBEAT_TOLERANCE = seconds(0.5)
-# A machine that does not answer either is silent for at least this long before it is terminated.
-MIN_UNANSWERED_SILENCE = seconds(4)
+# A machine that leaves the probe unanswered is terminated after at least this much silence.
+MIN_SILENCE_IF_PROBE_UNANSWERED = seconds(4)
 
 
 @dataclass(frozen=True, slots=True)
 class AutoscalerContext:
-    """What all parts of the autoscaler work with."""
+    """What all components of the autoscaler depend on."""
 
     cluster: ClusterState
     cloud: CloudClient
     clock: Clock
-    # Of the leader's term; no other controller is ever given the same one.
+    # Fencing token of the leader's term. It is never given to another controller.
     token: int
-    # The cloud knows no tokens, so no request is sent to it unless this holds.
+    # The cloud does not check fencing tokens, so it is sent no request to provision or terminate unless this
+    # returns True.
     is_leadership_proven: Callable[[], bool]
     settings: FleetSettings
     worker_settings: WorkerSettings
@@ -35,13 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineSupply:
-    """The machines that can be provisioned, and how soon work on them has to start."""
+    """The machines that can be provisioned, and how soon work must start."""
 
-    # The machine types known at present.
+    # Returns the machine types known at present.
     types: Callable[[], list[MachineType]]
-    # Zones of the machine types that name none themselves.
+    # Zones of machine types that list no zones themselves.
     zones: list[str]
-    # The shortest time to a start that an objective of the deployment allows; None: no objective says.
+    # The shortest time to a task's start that an objective of the deployment demands; None if none does.
     min_start_objective: timedelta | None
 
 
@@ -51,28 +52,30 @@
 
     # Asks a machine's worker for its status.
     request_status: Callable[[Machine], Awaitable[None]]
-    # Tells the worker at an address, in a given incarnation, who leads.
+    # Tells the worker at an address, in a given incarnation, which controller leads.
     introduce_leader: Callable[[str, int], None]
     max_concurrent_probes: int
 
 
 @dataclass(frozen=True, slots=True)
 class SilenceLimits:
-    """For how long a machine may be silent before something is done about it."""
+    """How long a machine may be silent before it is probed or terminated."""
 
-    # It has missed heartbeats and is asked for its status.
+    # After this silence it is probed.
     probe: timedelta
-    # It is terminated if it does not answer either.
+    # After this silence it is terminated if it left a probe unanswered.
     unanswered: timedelta
-    # It is terminated: its lease is over.
+    # After this silence it is terminated in any case, since its lease has expired.
     lease: timedelta
 
     @classmethod
-    def of(cls, context: AutoscalerContext) -> "SilenceLimits":
-        """The limits that follow from the worker policy and the operators' settings."""
+    def from_context(cls, context: AutoscalerContext) -> "SilenceLimits":
+        """Computes the limits from the worker policy and the operator settings."""
         policy, settings = context.cluster.policy, context.worker_settings
         return cls(
-            probe=policy.heartbeat_interval * MISSED_HEARTBEATS + HEARTBEAT_TOLERANCE,
-            unanswered=max(policy.heartbeat_interval * settings.missed_heartbeats, MIN_UNANSWERED_SILENCE),
+            probe=policy.heartbeat_interval * MISSED_HEARTBEATS_BEFORE_PROBE + HEARTBEAT_TOLERANCE,
+            unanswered=max(
+                policy.heartbeat_interval * settings.missed_heartbeats, MIN_SILENCE_IF_PROBE_UNANSWERED
+            ),
             lease=policy.lease + seconds(settings.silence_margin_s),
         )
--- a/spindleglade/fleet/provisioning_requests.py
+++ b/spindleglade/fleet/provisioning_requests.py
@@ -1,4 +1,4 @@
-"""Sends provisioning requests to the cloud until they are answered or given up."""
+"""Sends provisioning requests to the cloud and retries them until they are answered or given up."""
 
 import logging
 from collections.abc import Callable
@@ -13,12 +13,12 @@
 
 log = logging.getLogger("spindleglade.fleet")
 
-# Attempts at one request that the cloud leaves unanswered.
+# Attempts at one provisioning request before it is given up as unanswered.
 MAX_PROVISION_ATTEMPTS = 5
 
 
 class ProvisioningRequests:
-    """Requests machines, and keeps the machines that the cloud provisioned as booting."""
+    """Sends provisioning requests and records the provisioned machines as booting."""
 
     def __init__(
         self,
@@ -34,13 +34,13 @@
         self._state = state
         self._capacity_backoff = backoff
         self._on_finished = on_finished
-        # Requests made so far, which number their ids.
+        # Number of requests so far; it is part of the request id.
         self._request_count = 0
 
     def send(self, offer: MachineOffer, count: int) -> None:
-        """Begins to provision so many machines of an offer."""
+        """Starts to provision `count` machines of the offer in the background."""
         self._request_count += 1
-        # A token is never given twice, so neither is the id, by whichever controller.
+        # Fencing tokens are never reused, so the id is unique among all controllers.
         request = ProvisionRequest(
             f"r-{self._token}-{self._request_count}", offer.type.name, offer.zone, offer.spot, count
         )
@@ -51,7 +51,7 @@
     async def _provision(self, pending: PendingRequest) -> None:
         try:
             for _ in range(MAX_PROVISION_ATTEMPTS):
-                # Sent again with the same id, the request brings the same machines.
+                # A retry with the same id is idempotent: it returns the same machines.
                 if await self._try_provision(pending):
                     return
         finally:
@@ -60,12 +60,12 @@
                 self._on_finished()
 
     async def _try_provision(self, pending: PendingRequest) -> bool:
-        """One attempt; whether it was the last one."""
+        """Makes one attempt. Returns whether the request is finished, so that no retry is needed."""
         request = pending.request
         try:
             names = await self._cloud.provision(request, self._is_leadership_proven)
         except LeadershipUnprovenError as error:
-            # Machines that an earlier attempt may have brought are adopted from the machine list.
+            # Machines that an earlier attempt may have provisioned are adopted from the machine list.
             log.info("provisioning given up request=%s reason=%s", request.request_id, error)
             return True
         except CloudRequestRejectedError as error:
--- a/spindleglade/fleet/scale_out.py
+++ b/spindleglade/fleet/scale_out.py
@@ -1,4 +1,4 @@
-"""Scales out: decides which machines to provision for unplaced demand and for headroom."""
+"""Scale-out: decides which machines to provision for unplaced demand and for headroom."""
 
 import math
 from collections import defaultdict
@@ -18,16 +18,17 @@
 from spindleglade.fleet.provisioning_requests import ProvisioningRequests
 from spindleglade.fleet.state import FleetState
 
-# Provisioning requests under way at once.
+# Maximum number of provisioning requests that may await a response at the same time.
 MAX_PENDING_REQUESTS = 4
 
-# On-demand machines come first where headroom is needed; else only the demand marked so gets them.
+# Where headroom is needed, all demand may use on-demand machines and they are preferred.
 ON_DEMAND_FOR_HEADROOM = OnDemandUse(is_preferred=True)
-ON_DEMAND_IF_MARKED = OnDemandUse(jobs=frozenset())
+# Otherwise only demand that may not use spot machines, or has `may_use_on_demand` set, gets them.
+ON_DEMAND_WHERE_ALLOWED = OnDemandUse(job_ids=frozenset())
 
 
 class ScaleOut:
-    """Provisions machines for the demand that the latest plan could not place, or else for headroom."""
+    """Provisions machines for the demand that the latest plan could not place, otherwise for headroom."""
 
     def __init__(
         self,
@@ -50,23 +51,23 @@
         self._expected_release: Callable[[], ExpectedRelease] = ExpectedRelease.nothing
 
     def on_plan(self, plan: Plan) -> None:
-        """Takes over from the latest plan the demand without capacity, and what will be free soon."""
+        """Takes over the unplaced demand and the expected releases of the latest plan."""
         self._unplaced_demand = plan.unplaced
         self._expected_release = plan.expected_release
         self._on_demand_policy.observe_demand(plan.unplaced, self._cluster.teams, self._clock.now())
 
     def run(self, now: timedelta) -> None:
-        """Requests the machines that are missing now."""
+        """Requests missing machines, unless too many requests are pending or leadership is unproven."""
         if len(self._state.pending_requests) >= MAX_PENDING_REQUESTS or not self._is_leadership_proven():
             return
-        wanted = self._choose_for_unplaced_demand(now)
-        if self._headroom.is_needed and not wanted:
-            wanted = self._choose_for_headroom(now)
-        for offer, count in wanted:
+        choices = self._choose_for_unplaced_demand(now)
+        if self._headroom.is_needed and not choices:
+            choices = self._choose_for_headroom(now)
+        for offer, count in choices:
             self._requests.send(offer, count)
 
     def _on_request_finished(self) -> None:
-        """Another machine pool may have what the one requested lacks."""
+        """Chooses again at once: another machine pool may have the capacity that the requested one lacks."""
         self.run(self._clock.now())
 
     def _choose_for_unplaced_demand(self, now: timedelta) -> list[tuple[MachineOffer, int]]:
@@ -83,7 +84,7 @@
             self._cluster.teams,
             used_cpus,
             MAX_PROVISIONED_PER_REQUEST,
-            ON_DEMAND_FOR_HEADROOM if needs_headroom else ON_DEMAND_IF_MARKED,
+            ON_DEMAND_FOR_HEADROOM if needs_headroom else ON_DEMAND_WHERE_ALLOWED,
         )
 
     def _choose_for_headroom(self, now: timedelta) -> list[tuple[MachineOffer, int]]:
@@ -91,14 +92,15 @@
         offers = [offer for offer in self._offers(now) if offer.type.cpus > 0]
         if deficit_cpus <= 0 or not offers:
             return []
-        offer = min(offers, key=_headroom_preference)
+        offer = min(offers, key=_headroom_sort_key)
         count = math.ceil(deficit_cpus / offer.type.cpus)
         return [(offer, min(MAX_PROVISIONED_PER_REQUEST, count))]
 
     def _expected_capacity(self, now: timedelta) -> list[FreeCapacity]:
-        """The machines that are booting or requested, all of them empty."""
+        """The full capacity of each machine that is booting or requested; no task runs there yet."""
         capacity = [
-            _empty_machine(boot.type, boot.zone, boot.spot) for boot in self._state.expected_machines(now)
+            _empty_machine(booting.type, booting.zone, booting.spot)
+            for booting in self._state.expected_machines(now)
         ]
         for pending in self._state.pending_requests.values():
             request = pending.request
@@ -114,7 +116,7 @@
         return used
 
     def _offers(self, now: timedelta) -> list[MachineOffer]:
-        """The machines that may be requested now: all but those of machine pools that are backed off."""
+        """An offer for each machine pool that is not backed off."""
         machines_by_zone = self._count_machines_by_zone()
         offers = []
         for machine_type in self._supply.types():
@@ -127,32 +129,33 @@
         return offers
 
     def _count_machines_by_zone(self) -> defaultdict[str, int]:
-        """Machines in each zone, with those that are booting or requested."""
+        """The number of machines in each zone, including those that are booting or requested."""
         counts: defaultdict[str, int] = defaultdict(int)
         with self._cluster.lock:
             for machine in self._cluster.machines.values():
                 counts[machine.zone] += 1
-        for boot in self._state.booting.values():
-            counts[boot.zone] += 1
+        for booting in self._state.booting.values():
+            counts[booting.zone] += 1
         for pending in self._state.pending_requests.values():
             counts[pending.request.zone] += pending.request.count
         return counts
 
     def _demand_with_on_demand_allowed(self, now: timedelta) -> list[UnplacedDemand]:
-        """The unplaced demand, marked where on-demand machines may be provisioned for it though its jobs may
-        use spot machines. Where headroom is needed, all demand may use them."""
+        """The unplaced demand, with `may_use_on_demand` set where on-demand machines may be provisioned for a
+        job that may use spot machines. The field is left unset where headroom is needed, since all demand may
+        use on-demand machines then."""
         if self._headroom.is_needed:
             return self._unplaced_demand
         has_spot = self._has_spot_machines(now)
         return self._on_demand_policy.allow(self._unplaced_demand, self._cluster.has_begun, has_spot, now)
 
     def _has_spot_machines(self, now: timedelta) -> bool:
-        """Whether any spot machine is present or boots. Pending requests do not count: one machine pool after
-        the other is requested, and all may be rejected."""
+        """Whether any spot machine is present or booting. Pending requests do not count: machine pools are
+        requested one after another, and the cloud may reject all of them."""
         with self._cluster.lock:
             if any(machine.spot for machine in self._cluster.machines.values()):
                 return True
-        return any(boot.spot for boot in self._state.expected_machines(now))
+        return any(booting.spot for booting in self._state.expected_machines(now))
 
 
 def _empty_machine(machine_type: MachineType, zone: str, spot: bool) -> FreeCapacity:
@@ -161,6 +164,7 @@
     )
 
 
-def _headroom_preference(offer: MachineOffer) -> tuple[bool, bool, float, int]:
-    """Sorts first the offer that headroom is made of: on-demand machines are not taken away."""
+def _headroom_sort_key(offer: MachineOffer) -> tuple[bool, bool, float, int]:
+    """Sort key that puts the best offer for headroom first: outside partitioned zones, then on-demand, since
+    the cloud does not reclaim those machines, then the lowest price per CPU, then the emptiest zone."""
     return (offer.zone_partitioned, offer.spot, offer.price / offer.type.cpus, offer.machines_in_zone)
--- a/spindleglade/fleet/termination.py
+++ b/spindleglade/fleet/termination.py
@@ -1,7 +1,8 @@
-"""Terminates machines: sends the requests to the cloud until it has confirmed them.
+"""Terminates machines: repeats each request until the cloud has confirmed it.
 
-A confirmed termination is the one proof that does not need the worker: once the cloud has answered 200, the
-machine and all on it are gone. So silent machines are terminated before their tasks are placed anew.
+A confirmed termination is the only proof that a task has ended which does not depend on the worker: once the
+cloud has responded with status 200, the machine and everything on it are gone. Silent machines are therefore
+terminated before their tasks are placed again.
 """
 
 import logging
@@ -19,7 +20,7 @@
 
 log = logging.getLogger("spindleglade.fleet")
 
-# Between two attempts at the same termination request.
+# Time between two attempts at the same termination request.
 TERMINATE_RETRY_DELAY = seconds(0.7)
 
 
@@ -31,14 +32,14 @@
     SILENT_AND_UNANSWERED = "silent and probe unanswered"
     UNREACHABLE = "unreachable"
     QUARANTINED = "quarantined"
-    # A start of a cancelled job may still arrive there, and nothing else can prevent that it runs.
+    # A start of a cancelled job may still arrive there, and only termination can keep it from running.
     UNACKNOWLEDGED_START = "unacknowledged start of a cancelled job"
     BOOT_TIMEOUT = "boot timeout"
     FAILED = "failed"
 
 
 class MachineTermination:
-    """Sends termination requests and tells the cluster state which machines are gone."""
+    """Sends termination requests and reports the terminated machines to the cluster state."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
         self._on_changed = on_changed
 
     def terminate(self, reasons: dict[str, TerminationReason]) -> None:
-        """Begins to terminate the machines named, in this order."""
+        """Starts to terminate the machines named by the keys of `reasons`, in their order."""
         for name in reasons:
             self._state.terminating[name] = self._pool_of(name)
             self._state.booting.pop(name, None)
@@ -70,8 +71,8 @@
             machine = self._cluster.machines.get(name)
         if machine is not None:
             return MachinePool(machine.type, machine.zone, machine.spot)
-        boot = self._state.booting.get(name)
-        return None if boot is None else boot.pool
+        booting = self._state.booting.get(name)
+        return None if booting is None else booting.pool
 
     async def _terminate_batch(self, reasons: dict[str, TerminationReason]) -> None:
         while not self._state.stopped:
@@ -81,17 +82,16 @@
             await sleep(self._clock, TERMINATE_RETRY_DELAY)
 
     async def _try_terminate(self, names: list[str]) -> bool:
-        """One attempt; whether the cloud has confirmed it."""
+        """Makes one attempt. Returns whether the cloud has confirmed the termination."""
         try:
-            # Each attempt needs the proof of leadership: a leader that was suspended between two of them may
-            # have a successor that uses the machines.
+            # Leadership is checked for each attempt: if this leader was suspended between two attempts, its
+            # successor may be using the machines.
             await self._cloud.terminate(names, self._is_leadership_proven)
         except CloudError as error:
             log.info("termination delayed machines=%s reason=%s", ",".join(names), error)
             return False
         except Exception:
-            # Without a retry the machines would be neither used nor terminated for as long as this
-            # controller leads.
+            # Without a retry, the machines would be neither used nor terminated while this controller leads.
             log.exception("termination failed machines=%s", ",".join(names))
             return False
         return True
--- a/spindleglade/fleet/test_autoscaler.py
+++ b/spindleglade/fleet/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""The autoscaler against a simulated cloud: what it provisions and terminates, and when."""
+"""Tests which machines the autoscaler provisions and terminates, and when, with a fake cloud."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 class RecordingCloud:
-    """Records requests. It has no capacity, and lists one machine, which has failed."""
+    """Records requests. It provisions no machines and lists one machine, which has failed."""
 
     def __init__(self):
         self.requests = []
@@ -33,7 +33,7 @@
 
 
 def make_context(proven=True, cloud=None, clock=None):
-    """What the parts of an autoscaler work with. `proven` is a value, or a call that gives it."""
+    """The context of an autoscaler. `proven` is the proof of leadership, or a function that returns it."""
     return AutoscalerContext(
         make_cluster(),
         cloud,
@@ -46,7 +46,7 @@
 
 
 def make_autoscaler(min_start_objective, proven=True, cloud=None, clock=None):
-    """An autoscaler without workers."""
+    """An autoscaler for one machine type, without connections to workers."""
     types = [MachineType("s", 8.0, 32.0, 1.0, 0.3, 20.0, 50.0, 0.25, 0.0, ["a"])]
     return Autoscaler(
         make_context(proven, cloud, clock),
@@ -61,7 +61,7 @@
 
 
 def test_the_backoff_from_a_pool_ends_when_a_machine_of_it_is_terminated():
-    """No machine of another pool becomes available by that."""
+    """A termination frees no capacity of other pools, so it must not end their backoff."""
 
     class FullCloud(RecordingCloud):
         async def provision(self, request, allowed):
@@ -74,7 +74,8 @@
         async def list_machines(self):
             return []
 
-    def just_after_termination(spot):
+    def requests_after_termination(spot):
+        """The requests within half a second after the termination of an idle machine."""
         autoscaler = make_autoscaler(None, True, cloud, clock)
         machine = Machine("n-1", "", "s", "a", spot, last_heartbeat_at=clock.now())
         autoscaler._cluster.machines["n-1"] = machine
@@ -83,24 +84,29 @@
         for _ in range(40):
             clock.advance(seconds(0.5))
         autoscaler.stop()
-        (at,) = [at for what, at in cloud.requests if what == "terminate"]
-        return [what for what, when in cloud.requests if at <= when <= at + seconds(0.5)]
+        (terminated_at,) = [at for operation, at in cloud.requests if operation == "terminate"]
+        return [
+            operation
+            for operation, at in cloud.requests
+            if terminated_at <= at <= terminated_at + seconds(0.5)
+        ]
 
     clock, cloud = ManualClock(), FullCloud()
-    assert just_after_termination(spot=True) == ["terminate", "provision"]
+    assert requests_after_termination(spot=True) == ["terminate", "provision"]
     clock, cloud = ManualClock(), FullCloud()
-    assert just_after_termination(spot=False) == ["terminate"]
+    assert requests_after_termination(spot=False) == ["terminate"]
 
 
 def test_a_machine_adopted_as_running_counts_as_capacity_only_for_a_while():
-    """An old list names machines that the previous leader has terminated."""
+    """An outdated machine list still contains machines that the previous leader has terminated."""
 
-    class LateCloud(RecordingCloud):
+    class StaleListCloud(RecordingCloud):
         async def list_machines(self):
             return [ListedMachine("n-1", "x:1", "s", "a", True, state, 9.0)]
 
-    def provisioned_at():
-        clock, cloud = ManualClock(), LateCloud()
+    def first_provisioning_at():
+        """When the first machine is requested; None if none is within 30 seconds."""
+        clock, cloud = ManualClock(), StaleListCloud()
         autoscaler = make_autoscaler(None, True, cloud, clock)
         autoscaler.start()
         for _ in range(60):
@@ -111,13 +117,13 @@
         return None
 
     state = "running"
-    assert seconds(10) < provisioned_at() < seconds(13)
+    assert seconds(10) < first_provisioning_at() < seconds(13)
     state = "starting"
-    assert provisioned_at() is None
+    assert first_provisioning_at() is None
 
 
 def test_no_on_demand_machine_is_provisioned_for_best_effort_work_however_long_it_waits():
-    class NoSpot(RecordingCloud):
+    class NoSpotCloud(RecordingCloud):
         async def provision(self, request, allowed):
             self.requests.append(request.spot)
             if request.spot:
@@ -128,7 +134,8 @@
             return []
 
     def requested_spot(team, rank):
-        clock, cloud = ManualClock(), NoSpot()
+        """The values of `spot` in the requests for a job that waits for more than ten minutes."""
+        clock, cloud = ManualClock(), NoSpotCloud()
         autoscaler = make_autoscaler(None, True, cloud, clock)
         autoscaler._cluster.teams = TEAMS
         autoscaler.start()
@@ -148,7 +155,7 @@
 
 @pytest.mark.parametrize("proven", [True, False])
 def test_nothing_is_provisioned_or_terminated_while_leadership_is_unproven(proven):
-    """The cloud obeys any controller, one that led long ago too."""
+    """The cloud does not check fencing tokens, so it would obey a former leader too."""
     clock, cloud = ManualClock(), RecordingCloud()
     autoscaler = make_autoscaler(None, proven, cloud, clock)
     autoscaler._cluster.machines["n-1"] = Machine("n-1", "", "s", "a", True, last_heartbeat_at=seconds(0))
@@ -160,26 +167,26 @@
 
 
 def test_an_unanswered_request_is_not_retried_while_leadership_is_unproven():
-    """A successor may use the machines that a leader suspended between two attempts would terminate."""
+    """A leader that was suspended between two attempts would terminate machines that its successor uses."""
 
-    class SilentCloud(RecordingCloud):
+    class UnresponsiveCloud(RecordingCloud):
         async def provision(self, request, allowed):
-            await self._try("provision", allowed)
+            await self._record("provision", allowed)
 
         async def terminate(self, names, allowed):
-            await self._try("terminate", allowed)
+            await self._record("terminate", allowed)
 
-        async def _try(self, what, allowed):
+        async def _record(self, operation, allowed):
             if not allowed():
                 raise LeadershipUnprovenError
-            self.requests.append(what)
+            self.requests.append(operation)
             await sleep(clock, seconds(4))
             raise CloudTimeoutError
 
         async def list_machines(self):
             return []
 
-    clock, cloud, proven = ManualClock(), SilentCloud(), [True]
+    clock, cloud, proven = ManualClock(), UnresponsiveCloud(), [True]
     autoscaler = make_autoscaler(None, lambda: proven[0], cloud, clock)
     autoscaler._cluster.machines["n-1"] = Machine("n-1", "", "s", "a", True, last_heartbeat_at=seconds(0))
     autoscaler.on_plan(plan_with_unplaced_job())
@@ -190,7 +197,7 @@
     proven[0] = False
     clock.advance(seconds(70))
     assert sorted(cloud.requests) == ["provision", "terminate"]
-    # It leads after all, so the machine is terminated.
+    # Leadership is proven again, so the termination is retried.
     proven[0] = True
     clock.advance(seconds(2))
     assert cloud.requests.count("terminate") == 2
@@ -198,18 +205,18 @@
 
 
 def test_a_termination_that_fails_unexpectedly_is_retried():
-    """Otherwise its machines are neither used nor terminated for as long as this controller leads."""
+    """Without a retry, the machines are neither used nor terminated as long as this controller leads."""
 
-    class FailsOnce(RecordingCloud):
+    class FailsOnceCloud(RecordingCloud):
         async def terminate(self, names, allowed):
             self.requests.append(names)
             if len(self.requests) == 1:
-                raise ValueError("once")
+                raise ValueError("first termination fails")
 
         async def list_machines(self):
             return []
 
-    clock, cloud = ManualClock(), FailsOnce()
+    clock, cloud = ManualClock(), FailsOnceCloud()
     autoscaler = make_autoscaler(None, True, cloud, clock)
     autoscaler._cluster.machines["n-1"] = Machine("n-1", "", "s", "a", True, last_heartbeat_at=seconds(0))
     clock.advance(seconds(60))
--- a/spindleglade/fleet/test_capacity.py
+++ b/spindleglade/fleet/test_capacity.py
@@ -1,4 +1,4 @@
-"""Free capacity in columns is allocated as machine by machine, and includes what frees soon."""
+"""Tests the allocation of free capacity, and that it includes capacity that is released soon."""
 
 from dataclasses import replace
 
@@ -50,13 +50,13 @@
     ),
 )
 def test_capacity_in_columns_is_allocated_as_machine_by_machine(machines, requests):
-    """The plain form: each job goes from machine to machine and takes what it can."""
+    """Compares the array form with a loop in which each job takes what it can, machine by machine."""
     capacity = CapacityPool([FreeCapacity(*entry[:3], *map(float, entry[3:])) for entry in machines])
-    plain = [list(entry) for entry in machines]
+    free_by_machine = [list(entry) for entry in machines]
     for cpus, gpus, spot, zone, max_tasks in requests:
         work = replace(job("job-1", cpus, spot=spot, zone=zone), gpus=gpus, memory=4.0)
         expected = 0
-        for free in plain:
+        for free in free_by_machine:
             while (
                 expected < max_tasks
                 and (spot or not free[2])
--- a/spindleglade/fleet/test_capacity_backoff.py
+++ b/spindleglade/fleet/test_capacity_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff from machine pools without capacity."""
+"""Tests the exponential backoff from machine pools without capacity."""
 
 from spindleglade.fleet.capacity_backoff import CapacityBackoff
 from spindleglade.runtime.clock import seconds
--- a/spindleglade/fleet/test_client.py
+++ b/spindleglade/fleet/test_client.py
@@ -1,4 +1,4 @@
-"""The client of the cloud sends no request that its caller may no longer make."""
+"""Tests that the client of the cloud sends no request once its caller may no longer make it."""
 
 from twisted.internet.defer import ensureDeferred
 
@@ -9,7 +9,7 @@
 
 
 class RecordingRequester:
-    """Records each request and answers nothing of use."""
+    """Records the path of each request and returns an empty response."""
 
     def __init__(self):
         self.paths = []
@@ -22,16 +22,16 @@
 def test_a_request_that_waited_for_the_rate_limit_is_not_sent_once_leadership_is_unproven():
     clock, http = ManualClock(), RecordingRequester()
     cloud = CloudClient(http, "x:1", clock, 1.0, seconds(4))
-    proven, ended = [True], []
+    proven, errors = [True], []
 
     def terminate():
-        waiter = ensureDeferred(cloud.terminate(["n-1"], lambda: proven[0]))
-        waiter.addErrback(lambda failure: ended.append(failure.type))
+        termination = ensureDeferred(cloud.terminate(["n-1"], lambda: proven[0]))
+        termination.addErrback(lambda failure: errors.append(failure.type))
 
     terminate()
     assert len(http.paths) == 1
-    # The second one has to wait for the rate limit, and the leader is suspended meanwhile.
+    # The second request waits for the rate limit. Leadership becomes unproven during the wait.
     terminate()
     proven[0] = False
     clock.advance(seconds(5))
-    assert len(http.paths) == 1 and ended == [LeadershipUnprovenError]
+    assert len(http.paths) == 1 and errors == [LeadershipUnprovenError]
--- a/spindleglade/fleet/test_machine_types.py
+++ b/spindleglade/fleet/test_machine_types.py
@@ -1,4 +1,4 @@
-"""The machine types as they are shared through the state service."""
+"""Tests how the machine types are shared through the state service."""
 
 import msgspec
 
@@ -17,7 +17,7 @@
 
 
 class FakeStore:
-    """The replica and the client of the state service in one."""
+    """Stands for both the replica and the client of the state service, and records the writes."""
 
     def __init__(self, next_limits):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12, next_limits)
@@ -39,7 +39,7 @@
 def store_types(next_limits):
     store = FakeStore(next_limits)
     catalog = MachineTypeCatalog(None, store, store, ManualClock(), 1.0, lambda: False)
-    run_in_background(catalog._store(TYPES_OF_CLOUD), "storing")
+    run_in_background(catalog._store(TYPES_OF_CLOUD), "store types")
     return store
 
 
@@ -65,9 +65,9 @@
     assert len(store.writes) > 3 and store.writes[-1].key == TYPES
     assert read_types(store.writes) == TYPES_OF_CLOUD
     assert read_types(store.writes[:-1]) == []
-    # The version before reads the first key alone.
-    kept = msgspec.json.decode(store.writes[-1].value, type=MachineTypeList).types
-    assert kept == TYPES_OF_CLOUD[: len(kept)] and kept
+    # The previous version reads only the first key.
+    first_types = msgspec.json.decode(store.writes[-1].value, type=MachineTypeList).types
+    assert first_types == TYPES_OF_CLOUD[: len(first_types)] and first_types
 
 
 def test_a_type_larger_than_a_value_is_a_value_of_its_own():
--- a/spindleglade/fleet/test_provisioning.py
+++ b/spindleglade/fleet/test_provisioning.py
@@ -1,4 +1,4 @@
-"""Which machines are provisioned for unplaced demand."""
+"""Tests which machines are provisioned for unplaced demand."""
 
 import math
 
@@ -15,11 +15,12 @@
 OFFERS = [MachineOffer(machine_type, "a", spot) for machine_type in (SMALL, LARGE) for spot in (True, False)]
 ON_DEMAND_OFFERS = [offer for offer in OFFERS if not offer.spot]
 TEAMS = {"t": Team("t", 8.0, 64.0), "guest": Team("guest", 0.0, math.inf, 0.0, math.inf)}
-# Only marked demand may use on-demand machines.
-MARKED_ONLY = OnDemandUse(jobs=frozenset())
+# Only demand that may not use spot machines, or has `may_use_on_demand` set, may use on-demand machines.
+ALLOWED_ONLY = OnDemandUse(job_ids=frozenset())
 
 
 def provision(unplaced, booting=(), offers=OFFERS, used=0.0, on_demand=ON_DEMAND_FOR_ALL):
+    """The machines chosen, as tuples of machine type, spot and count. `used` is CPUs of team `t`."""
     chosen = choose_provisioning(
         unplaced, CapacityPool(list(booting)), offers, TEAMS, {"t": used}, 50, on_demand
     )
@@ -57,35 +58,35 @@
 
 
 def test_like_demand_is_provisioned_for_as_one():
-    """Hundreds of like jobs cost one look at the machines, and get what they would get one by one."""
+    """Jobs with the same requirements are grouped to save time. They get the machines of one large job."""
     jobs = [UnplacedDemand(job(f"job-{number}", 4.0), 1, False) for number in range(12)]
     together = provision([UnplacedDemand(job("job-0", 4.0), 12, False)])
     assert provision(jobs) == together == [("s", True, 6)]
 
 
 def test_on_demand_machines_are_provisioned_only_for_the_jobs_that_may_use_them():
-    """While spot machines are all in use there is always some demand, which alone justifies none."""
+    """While all spot machines are in use there is always some demand, which alone justifies no others."""
     unplaced = [UnplacedDemand(job("job-1", 8.0), 1, False), UnplacedDemand(job("job-2", 8.0), 1, False)]
-    only_second = OnDemandUse(jobs=frozenset(["job-2"]))
-    assert provision(unplaced, offers=ON_DEMAND_OFFERS, on_demand=MARKED_ONLY) == []
+    only_second = OnDemandUse(job_ids=frozenset(["job-2"]))
+    assert provision(unplaced, offers=ON_DEMAND_OFFERS, on_demand=ALLOWED_ONLY) == []
     assert provision(unplaced, offers=ON_DEMAND_OFFERS, on_demand=only_second) == [("s", False, 1)]
-    strict = [UnplacedDemand(job("job-1", 8.0, spot=False), 1, False)]
-    assert provision(strict, offers=ON_DEMAND_OFFERS, on_demand=MARKED_ONLY) == [("s", False, 1)]
+    on_demand_only = [UnplacedDemand(job("job-1", 8.0, spot=False), 1, False)]
+    assert provision(on_demand_only, offers=ON_DEMAND_OFFERS, on_demand=ALLOWED_ONLY) == [("s", False, 1)]
 
 
 def test_a_partitioned_zone_comes_last():
-    """Its machines were all terminated, so it has the fewest."""
+    """All its machines have been terminated, so it would win as the zone with the fewest machines."""
     offers = [MachineOffer(SMALL, "a", True, 0, zone_partitioned=True), MachineOffer(SMALL, "b", True, 9)]
     unplaced = [UnplacedDemand(job("job-1", 4.0), 2, False)]
-    (offer, count), *others = choose_provisioning(unplaced, CapacityPool(), offers, TEAMS, {}, 50)
-    assert (offer.zone, count, others) == ("b", 1, [])
+    (offer, count), *other_choices = choose_provisioning(unplaced, CapacityPool(), offers, TEAMS, {}, 50)
+    assert (offer.zone, count, other_choices) == ("b", 1, [])
     assert provision(unplaced, offers=offers[:1]) == [("s", True, 1)]
 
 
 def test_only_as_many_on_demand_machines_as_the_first_tasks_of_overdue_jobs_fill():
     first = UnplacedDemand(job("job-1", 8.0), 2, False, may_use_on_demand=True)
-    rest = UnplacedDemand(job("job-1", 8.0), 6, False)
-    assert provision([first, rest], offers=ON_DEMAND_OFFERS, on_demand=MARKED_ONLY) == [("s", False, 2)]
-    # They are on their way: no more are provisioned in the next pass.
-    coming = [FreeCapacity("s", "a", False, 8.0, 0.0, 32.0)] * 2
-    assert provision([first, rest], coming, offers=ON_DEMAND_OFFERS, on_demand=MARKED_ONLY) == []
+    remaining = UnplacedDemand(job("job-1", 8.0), 6, False)
+    assert provision([first, remaining], offers=ON_DEMAND_OFFERS, on_demand=ALLOWED_ONLY) == [("s", False, 2)]
+    # The next pass provisions no more, since these machines are booting.
+    booting = [FreeCapacity("s", "a", False, 8.0, 0.0, 32.0)] * 2
+    assert provision([first, remaining], booting, offers=ON_DEMAND_OFFERS, on_demand=ALLOWED_ONLY) == []
--- a/spindleglade/fleet/test_zone_partitions.py
+++ b/spindleglade/fleet/test_zone_partitions.py
@@ -1,4 +1,4 @@
-"""Detecting zones that are partitioned from this controller."""
+"""Tests the detection of zones that are partitioned from this controller."""
 
 from spindleglade.fleet.parameters import SilenceLimits
 from spindleglade.fleet.state import FleetState
@@ -10,14 +10,14 @@
 
 def test_a_zone_is_partitioned_from_when_most_of_it_falls_silent_until_a_machine_there_is_heard():
     context = make_context()
-    limits = SilenceLimits.of(context)
+    limits = SilenceLimits.from_context(context)
     machines, state = context.cluster.machines, FleetState(limits.lease)
     detector = ZonePartitionDetector(context.cluster, state, limits.probe)
 
     def partitioned_zones(at, **last_heartbeat_at):
         machines.clear()
-        for name, when in last_heartbeat_at.items():
-            machines[name] = Machine(name, "x:1", "s", "a", True, last_heartbeat_at=seconds(when))
+        for name, heartbeat_s in last_heartbeat_at.items():
+            machines[name] = Machine(name, "x:1", "s", "a", True, last_heartbeat_at=seconds(heartbeat_s))
         detector.observe(seconds(at))
         return state.partitioned_zones
 
--- a/spindleglade/fleet/zone_partitions.py
+++ b/spindleglade/fleet/zone_partitions.py
@@ -1,18 +1,18 @@
-"""Detects zones that are partitioned from this controller, as opposed to machines that die one by one."""
+"""Detects zones that are partitioned from this controller, as opposed to individual machines that fail."""
 
 from datetime import timedelta
 
 from spindleglade.fleet.state import FleetState
 from spindleglade.workers.cluster_state import ClusterState
 
-# Fewer silent machines do not make a partition.
+# Minimum number of silent machines in a zone for the zone to count as partitioned.
 MIN_SILENT_MACHINES_IN_ZONE = 3
-# Share of a zone's machines that are silent together in a partition.
-SILENT_SHARE_OF_ZONE = 1 / 2
+# Minimum share of a zone's machines that are silent for the zone to count as partitioned.
+MIN_SILENT_SHARE_OF_ZONE = 1 / 2
 
 
 class ZonePartitionDetector:
-    """Keeps `FleetState.partitioned_zones` by the heartbeats of the machines in each zone."""
+    """Updates `FleetState.partitioned_zones` from the heartbeats of the machines in each zone."""
 
     def __init__(self, cluster: ClusterState, state: FleetState, probe_after: timedelta) -> None:
         self._cluster = cluster
@@ -20,17 +20,20 @@
         self._probe_after = probe_after
 
     def observe(self, now: timedelta) -> None:
-        """Where most of a zone fell silent together, that is a partition. Its workers need some seconds to
-        find a controller that they reach, and it some more to report the renewals. The partition lasts until
-        a machine there is heard: that all have been terminated by then says nothing about the zone. The
-        caller holds the cluster's lock."""
+        """Marks zones as partitioned when most of their machines are silent at the same time.
+
+        The workers in such a zone need some seconds to find a controller that they can reach, and that
+        controller needs some more to report the lease renewals. A zone stays partitioned until one of its
+        machines is heard from: that all of them have been terminated meanwhile says nothing about the zone.
+        The caller holds the cluster's lock.
+        """
         silent_by_zone: dict[str, list[bool]] = {}
         for machine in self._cluster.machines.values():
             is_silent = self._cluster.is_silent(machine, now, self._probe_after)
             silent_by_zone.setdefault(machine.zone, []).append(is_silent)
         partitioned = self._state.partitioned_zones
         for zone, silent in silent_by_zone.items():
-            if sum(silent) >= max(MIN_SILENT_MACHINES_IN_ZONE, len(silent) * SILENT_SHARE_OF_ZONE):
+            if sum(silent) >= max(MIN_SILENT_MACHINES_IN_ZONE, len(silent) * MIN_SILENT_SHARE_OF_ZONE):
                 partitioned.add(zone)
             elif not all(silent):
                 partitioned.discard(zone)
