--- a/spindleglade/cli.py
+++ b/spindleglade/cli.py
@@ -1,4 +1,4 @@
-"""The command line: `serve` runs a controller, `check` reads its settings, `warm` compiles the modules."""
+"""The command line: `serve` runs a controller, `check` validates settings, `warm` writes bytecode files."""
 
 import argparse
 import gc
@@ -12,35 +12,35 @@
 from spindleglade.settings import OperatorSettings, Platform, SettingsError, load_operator, load_platform
 
 LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-# Overrides the operators' log level.
+# Environment variable that overrides the log level of the operators' settings.
 LOG_LEVEL_VARIABLE = "LOG_LEVEL"
 EXIT_OK = 0
 EXIT_BAD_INPUT = 2
 
 
 class _OneLineErrorParser(argparse.ArgumentParser):
-    """Reports a bad command line in one line, without the usage."""
+    """Reports an invalid command line in one line, without the usage text."""
 
     def error(self, message: str) -> None:  # type: ignore[override]
         self.exit(EXIT_BAD_INPUT, f"{self.prog}: command line: {message}\n")
 
 
 def parser() -> argparse.ArgumentParser:
-    """The parser of the command line."""
+    """Returns the parser of the command line."""
     result = _OneLineErrorParser(
-        prog="spindleglade", description="A cluster scheduler that backfills by distributions."
+        prog="spindleglade", description="A cluster scheduler that backfills by run-time distributions."
     )
     commands = result.add_subparsers(dest="command", required=True, parser_class=_OneLineErrorParser)
-    for name, text in (("serve", "run one controller"), ("check", "check the settings and exit")):
-        command = commands.add_parser(name, help=text, description=text)
-        command.add_argument("--settings", metavar="FILE.hcl", help="the operators' own settings, in HCL")
+    for name, summary in (("serve", "run one controller"), ("check", "check the settings and exit")):
+        command = commands.add_parser(name, help=summary, description=summary)
+        command.add_argument("--settings", metavar="FILE.hcl", help="the operators' settings, in HCL")
         command.add_argument("--config", metavar="FILE", required=True, help="the platform's JSON settings")
-    commands.add_parser("warm", help="import everything once, so that the compiled files are there")
+    commands.add_parser("warm", help="import all modules once to write their bytecode files")
     return result
 
 
 class _LogFormatter(logging.Formatter):
-    """Formats lines with the time in UTC and the controller's name."""
+    """Formats log lines with the time in UTC and the controller's name."""
 
     def __init__(self, controller: str) -> None:
         super().__init__(f"%(asctime)s %(levelname)s {controller} %(name)s %(message)s")
@@ -50,7 +50,10 @@
 
 
 def set_up_logging(settings: OperatorSettings, controller: str) -> None:
-    """Logs to standard error, at the level of the environment or the settings. Raises SettingsError."""
+    """Configures logging to standard error, at the level from the environment variable or else the settings.
+
+    Raises SettingsError.
+    """
     level = os.environ.get(LOG_LEVEL_VARIABLE) or settings.log.level
     if level not in LOG_LEVELS:
         reason = f"{level!r} is not one of {', '.join(LOG_LEVELS)}"
@@ -58,22 +61,22 @@
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(_LogFormatter(controller))
     logging.basicConfig(level=LOG_LEVELS[level], handlers=[handler], force=True)
-    # Threads and processes are not shown, and finding them out would cost time on each line.
+    # The log format has no thread or process, and collecting them would take time on each line.
     logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
 
 
 def serve(platform: Platform, settings: OperatorSettings) -> int:
     """Runs a controller until the process is stopped; returns the exit code."""
-    # Imported modules stay, so searching them for garbage, now or later, would only delay the start. Leases
-    # of machines that wait for this controller end meanwhile.
+    # Imported modules are never freed, so collecting garbage among them, now or later, would only delay the
+    # start. Leases of machines that wait for this controller could expire meanwhile.
     gc.disable()
-    # Imported late, so that a bad settings file is reported at once.
+    # Imported here so that an invalid settings file is reported without the time for these imports.
     from twisted.internet import reactor as installed_reactor
     from twisted.python.log import PythonLoggingObserver
 
     from spindleglade.controller.wiring import run_controller
 
-    # The interface of the reactor declares its methods without `self`.
+    # Typed as Any because the reactor's interface declares its methods without `self`.
     reactor: Any = installed_reactor
     PythonLoggingObserver("twisted").start()
     logging.getLogger("twisted").setLevel(logging.ERROR)
@@ -85,7 +88,7 @@
 
 
 def warm() -> int:
-    """Imports all modules, so that their compiled files are there; returns the exit code."""
+    """Imports all modules so that Python writes their bytecode files; returns the exit code."""
     import hcl2  # noqa: F401
     import twisted.internet.reactor  # noqa: F401
 
@@ -107,6 +110,6 @@
         print(f"spindleglade: {error}", file=sys.stderr)
         return EXIT_BAD_INPUT
     if options.command == "check":
-        print("settings are good")
+        print("settings are valid")
         return EXIT_OK
     return serve(platform, settings)
--- a/spindleglade/http/__init__.py
+++ b/spindleglade/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP client, the limits on connections, and the server."""
+"""The HTTP client, the HTTP server, and limits on connections and concurrent requests."""
--- a/spindleglade/http/client.py
+++ b/spindleglade/http/client.py
@@ -1,4 +1,4 @@
-"""Outgoing HTTP requests over connections that are kept."""
+"""HTTP client that reuses its connections."""
 
 from datetime import timedelta
 from typing import Any, NamedTuple, Protocol
@@ -8,29 +8,29 @@
 from twisted.web.client import Agent, HTTPConnectionPool, readBody
 from twisted.web.http_headers import Headers
 from twisted.web.iweb import IAgentEndpointFactory, IBodyProducer
-from zope.interface import implementer  # type: ignore[import-untyped]  # It has no annotations.
+from zope.interface import implementer  # type: ignore[import-untyped]  # no type annotations
 
 from spindleglade.http.connection_budget import ConnectionBudget
 from spindleglade.http.errors import NoResponseError, NotSentError
 from spindleglade.runtime.clock import seconds
 
-# How long a request may take of which the caller does not say.
+# Timeout of a request for which the caller gives none.
 DEFAULT_TIMEOUT = seconds(5)
-# How long making a connection may take.
+# Timeout of a connection attempt.
 CONNECT_TIMEOUT = seconds(2)
-# How long an idle connection is kept.
-IDLE_LIMIT = seconds(60)
+# An idle connection is closed after this time.
+IDLE_CONNECTION_TIMEOUT = seconds(60)
 
 
 class ClientResponse(NamedTuple):
-    """The response to an outgoing request."""
+    """The status and body of the response to an outgoing request."""
 
     status: int
     body: bytes
 
 
 class Requester(Protocol):
-    """Sends requests; implemented by the HTTP client, and by the fakes of tests."""
+    """Sends HTTP requests. Implemented by HttpClient, ConcurrencyLimiter and the fakes of the tests."""
 
     async def request(
         self,
@@ -40,23 +40,27 @@
         body: bytes | None = None,
         timeout: timedelta | None = None,
     ) -> ClientResponse:
-        """The response of `address` (host:port); every call ends within its timeout.
+        """Sends a request to `address` (host:port) and returns the response.
 
-        Raises NotSentError or NoResponseError.
+        Fails once `timeout` has passed; None means the implementation's default. Raises NotSentError or
+        NoResponseError.
         """
         ...
 
 
 class PooledRequester(Requester, Protocol):
-    """A requester that keeps its connections."""
+    """A requester that keeps idle connections open for reuse."""
 
     def close_idle_connections(self) -> None:
-        """Closes the connections that are kept and not in use."""
+        """Closes the pooled connections on which no request is in progress."""
         ...
 
 
 class HttpClient:
-    """Requests over kept connections, counted in `connection_budget`; implements PooledRequester."""
+    """Sends requests over pooled connections, which are counted in `connection_budget` if one is given.
+
+    Implements PooledRequester.
+    """
 
     def __init__(
         self, reactor: Any, connections_per_host: int, connection_budget: ConnectionBudget | None = None
@@ -64,8 +68,8 @@
         self._reactor = reactor
         pool = HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = connections_per_host
-        pool.cachedConnectionTimeout = int(IDLE_LIMIT.total_seconds())
-        # Only the callers know whether a request without a response may be repeated.
+        pool.cachedConnectionTimeout = int(IDLE_CONNECTION_TIMEOUT.total_seconds())
+        # Only the caller knows whether it is safe to repeat a request that got no response.
         pool.retryAutomatically = False
         self._pool = pool
         self._agent = Agent.usingEndpointFactory(
@@ -89,10 +93,10 @@
             self._headers if body is not None else None,
             _RequestBody(body) if body is not None else None,
         )
-        whole_response: defer.Deferred[ClientResponse] = response.addCallback(self._read_body)
-        whole_response.addTimeout(timeout.total_seconds(), self._reactor)
+        complete_response: defer.Deferred[ClientResponse] = response.addCallback(self._read_body)
+        complete_response.addTimeout(timeout.total_seconds(), self._reactor)
         try:
-            return await whole_response
+            return await complete_response
         except NotSentError:
             raise
         except Exception as error:
@@ -109,7 +113,7 @@
 
 @implementer(IBodyProducer)
 class _RequestBody:
-    """A body that is written at once."""
+    """A request body that is held in memory and written in one piece."""
 
     def __init__(self, body: bytes) -> None:
         self.body = body
@@ -127,9 +131,10 @@
 
 
 class _TrackedEndpoint(TCP4ClientEndpoint):
-    """Connects by IP address, and tells a failure to connect apart from a missing response.
+    """Connects by IP address, counts its connections, and reports a failure to connect as NotSentError.
 
-    Connections are counted from the attempt to the end: one whose attempt hangs holds a socket too.
+    A connection is counted from the start of the attempt until it is closed: an attempt that hangs occupies a
+    socket too.
     """
 
     def __init__(
@@ -145,7 +150,7 @@
         self._connection_budget = connection_budget
 
     def connect(self, factory: Any) -> defer.Deferred[Any]:
-        """Makes a connection; fails with NotSentError."""
+        """Opens a connection. The result fails with NotSentError, or CancelledError if cancelled."""
         if self._connection_budget is not None:
             self._connection_budget.on_opened()
         return super().connect(factory).addCallbacks(self._on_connected, self._on_failed)
--- a/spindleglade/http/concurrency.py
+++ b/spindleglade/http/concurrency.py
@@ -1,4 +1,4 @@
-"""Limits how many requests are under way at a time."""
+"""Limits the number of concurrent requests to machines."""
 
 from datetime import timedelta
 
@@ -9,15 +9,15 @@
 from spindleglade.http.errors import ConnectionLimitError
 from spindleglade.runtime.clock import Clock, seconds
 
-# How long a request waits for others to end.
+# How long a request may wait for earlier requests to finish.
 MAX_QUEUE_TIME = seconds(0.5)
 
 
 class ConcurrencyLimiter:
-    """A requester with only so many requests under way at a time.
+    """A requester that limits its concurrent requests; implements Requester.
 
-    It keeps connections only while there are enough to spare: after all controllers have restarted, a leader
-    has something to send to every machine at once.
+    Idle connections are closed after each request while the connection budget is nearly exhausted: after all
+    controllers have restarted, a leader sends a command to every machine at once.
     """
 
     def __init__(self, http: PooledRequester, clock: Clock, connection_budget: ConnectionBudget) -> None:
@@ -35,12 +35,12 @@
         body: bytes | None = None,
         timeout: timedelta | None = None,
     ) -> ClientResponse:
-        """See Requester; raises ConnectionLimitError if too many requests are under way, or no connection is
-        to spare."""
+        """See Requester. Raises ConnectionLimitError if the request has waited for MAX_QUEUE_TIME, or the
+        connection budget is exhausted."""
         await self._acquire(f"{method} {path}")
         try:
             if self._connection_budget.exhausted:
-                raise ConnectionLimitError("no connection to spare", f"{method} {path}")
+                raise ConnectionLimitError("connection budget exhausted", f"{method} {path}")
             return await self._http.request(method, address, path, body, timeout)
         finally:
             self._semaphore.release()
@@ -53,6 +53,6 @@
         try:
             await acquired
         except defer.CancelledError as error:
-            raise ConnectionLimitError("too many requests under way", operation) from error
+            raise ConnectionLimitError("too many concurrent requests", operation) from error
         if timer is not None and timer.active():
             timer.cancel()
--- a/spindleglade/http/connection_budget.py
+++ b/spindleglade/http/connection_budget.py
@@ -1,53 +1,55 @@
-"""How many connections a controller has open, against what its machine allows.
+"""Counts a controller's open connections against the number of sockets that its machine allows.
 
-When all other controllers are down, one has every worker, every user and its own commands to the machines. A
-process that has used up its sockets can reach neither store nor cloud nor peers, and health checks that it
-does not accept take it for ended. So what can wait gives way in time: idle connections to machines are
-closed, commands are left to the response to the next heartbeat, and incoming connections that nobody uses are
-closed.
+When all other controllers are down, the remaining one serves every worker and every user, and also sends
+commands to the machines. A process without free sockets can reach neither the state service nor the cloud nor
+its peers, and is considered down because it cannot accept health checks. Connections that can be given up are
+therefore released before the limit is reached: idle connections to machines are closed, commands are sent in
+the response to the next heartbeat instead of directly, and idle incoming connections are closed.
 """
 
-# From this share of the limit on nothing idle is kept.
+# Share of the limit from which idle connections are closed early.
 NEARLY_EXHAUSTED_SHARE = 3 / 4
-# From this share of the limit on the rest is the reserve: for store, cloud, peers and health checks.
+# Share of the limit from which no request is sent to a machine. The remaining sockets are reserved for the
+# state service, the cloud, peers and health checks.
 EXHAUSTED_SHARE = 7 / 8
-# Share of the limit that commands to machines may use at a time, and the least that they may use.
+# Share of the limit that concurrent requests to machines may use, and the number of concurrent requests that
+# is allowed whatever the limit.
 COMMAND_SHARE = 1 / 16
 MIN_CONCURRENT_COMMANDS = 8
 
 
 class ConnectionBudget:
-    """Counts the connections of users and workers, and those to machines.
+    """Counts the connections from users and workers, and the connections to machines.
 
-    The few connections to store, cloud and peers are not counted: they are in the reserve.
+    The few connections to the state service, the cloud and peers are not counted: they use the reserve.
     """
 
     def __init__(self, limit: int) -> None:
-        """`limit` is the number of sockets that this controller's machine allows."""
+        """`limit` is the number of sockets that the controller's machine allows."""
         self.limit = limit
         self.open = 0
         self._nearly_exhausted_at = int(limit * NEARLY_EXHAUSTED_SHARE)
         self._exhausted_at = int(limit * EXHAUSTED_SHARE)
 
     def on_opened(self) -> None:
-        """Counts a connection, from the attempt on."""
+        """Counts one more connection; called when the attempt to connect starts."""
         self.open += 1
 
     def on_closed(self) -> None:
-        """Counts a connection no longer."""
+        """Counts one connection less; called when it is closed or could not be made."""
         self.open -= 1
 
     @property
     def nearly_exhausted(self) -> bool:
-        """Whether nothing idle should be kept."""
+        """Whether idle connections should be closed early."""
         return self.open >= self._nearly_exhausted_at
 
     @property
     def exhausted(self) -> bool:
-        """Whether only the reserve is left: for store, cloud, peers and health checks."""
+        """Whether only the reserve for the state service, the cloud, peers and health checks is left."""
         return self.open >= self._exhausted_at
 
     @property
     def max_concurrent_commands(self) -> int:
-        """How many requests straight to machines may be under way at a time."""
+        """The number of requests that may be sent directly to machines at the same time."""
         return max(MIN_CONCURRENT_COMMANDS, int(self.limit * COMMAND_SHARE))
--- a/spindleglade/http/errors.py
+++ b/spindleglade/http/errors.py
@@ -1,14 +1,14 @@
-"""Errors of outgoing requests, and the base of those that the clients of a service raise."""
+"""Errors of outgoing requests, and the base class of the errors of the service clients."""
 
 
 class NoResponseError(Exception):
-    """The request got no response: it may have been carried out, or may still be, later.
+    """The request got no response: the server may have executed it, or may still execute it later.
 
-    Base of all errors of this package.
+    Base class of all errors that a Requester raises.
 
     Attributes:
-        reason: Why there is no response, for people.
-        operation: What failed, such as "POST /txn"; None if unknown.
+        reason: Why there is no response, as text for log lines.
+        operation: The request that failed, such as "POST /txn"; None if unknown.
 
     """
 
@@ -19,20 +19,20 @@
 
 
 class NotSentError(NoResponseError):
-    """The connection was never made, so the request cannot have been carried out, now or later."""
+    """The request was never sent, so the server cannot have executed it and never will."""
 
 
 class ConnectionLimitError(NotSentError):
-    """This process has no connection to spare, which says nothing about the other side."""
+    """The request was not sent because of this process's own limits; the server may be healthy."""
 
 
 class ServiceRequestError(Exception):
-    """Base of the errors that the clients of the state service and of the cloud raise.
+    """Base class of the errors that the clients of the state service and of the cloud raise.
 
     Attributes:
-        reason: Why it failed, for people.
-        operation: The request that failed and what it was about, such as "get sg/leader"; None if unknown.
-        status: The HTTP status that the service answered; None if there was no answer.
+        reason: Why the request failed, as text for log lines.
+        operation: The request that failed and its subject, such as "get sg/leader"; None if unknown.
+        status: The HTTP status of the service's response; None if there was no response.
 
     """
 
--- a/spindleglade/http/server.py
+++ b/spindleglade/http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: hands every request to one coroutine, and closes connections that nobody uses."""
+"""The HTTP server: passes every request to one handler coroutine and closes idle connections."""
 
 import logging
 from collections.abc import Callable, Coroutine
@@ -17,20 +17,23 @@
 
 log = logging.getLogger("spindleglade.http")
 
-# Largest body of a request, in bytes; handlers refuse what is longer.
+# Largest request body in bytes; handlers reject longer ones.
 BODY_LIMIT = 64 * 1024
-# Where workers send their heartbeats.
+# Path to which workers send their heartbeats.
 HEARTBEAT_PATH = b"/v1/report"
-# Users send a request every few seconds; a connection that has been idle for so long is one that they have
-# left. The shorter limit holds while connections are nearly exhausted.
-USER_IDLE_LIMIT = seconds(60)
-USER_IDLE_LIMIT_UNDER_PRESSURE = seconds(15)
-# When a client is told to retry after a request whose handler failed, in seconds.
+# A user's connection is closed once it has been idle for this time: users send a request every few seconds,
+# so it is no longer in use. The shorter timeout applies while the connection budget is nearly exhausted.
+USER_IDLE_TIMEOUT = seconds(60)
+USER_IDLE_TIMEOUT_UNDER_PRESSURE = seconds(15)
+# Seconds after which a client is told to retry a request whose handler failed.
 RETRY_AFTER_FAILURE_S = 1
 
 
 class HttpResponse(NamedTuple):
-    """The response to an incoming request: a status, a JSON body, and after how many seconds to retry."""
+    """The response to an incoming request: status, JSON body and value of Retry-After in seconds.
+
+    With `retry_after` None the response has no Retry-After header.
+    """
 
     status: int
     body: bytes = b""
@@ -39,30 +42,31 @@
 
 encode_json = msgspec.json.encode
 
-# Takes method, path and body. A body over BODY_LIMIT is cut, or replaced, to just above the limit.
+# Takes method, path and body. A body longer than BODY_LIMIT arrives as BODY_LIMIT + 1 bytes, truncated or
+# replaced by spaces, so that the handler can tell that it is too long.
 Handler = Callable[[str, str, bytes], Coroutine[Any, Any, HttpResponse]]
 
 
 class RequestResource(Resource):
-    """Hands every request to one coroutine."""
+    """Passes the requests for all paths to one handler coroutine."""
 
     isLeaf = True
 
     def __init__(self, handler: Handler) -> None:
-        super().__init__()  # type: ignore[no-untyped-call]  # Twisted's
+        super().__init__()  # type: ignore[no-untyped-call]  # not annotated by Twisted
         self._handler = handler
 
     def render(self, request: Request) -> int:
-        """Starts the handler; the response is sent when it returns, unless the client has disconnected."""
+        """Starts the handler, and sends its response when it returns unless the client has disconnected."""
         body = _read_body(request)
         disconnects: list[Any] = []
         request.notifyFinish().addErrback(disconnects.append)
         path = request.path.decode("utf-8", "replace")
-        running: defer.Deferred[Any] = defer.ensureDeferred(
+        response: defer.Deferred[Any] = defer.ensureDeferred(
             self._handler(request.method.decode("ascii", "replace"), path, body)
         )
-        running.addErrback(self._on_handler_failed, path)
-        running.addCallback(self._send_response, request, disconnects)
+        response.addErrback(self._on_handler_failed, path)
+        response.addCallback(self._send_response, request, disconnects)
         return NOT_DONE_YET
 
     @staticmethod
@@ -85,7 +89,7 @@
 
 
 def _read_body(request: Request) -> bytes:
-    """The body; of one that is too long only enough to tell."""
+    """The request body; BODY_LIMIT + 1 bytes in place of one that is longer than BODY_LIMIT."""
     length = request.getHeader(b"content-length")
     if length is not None and length.isdigit() and int(length) > BODY_LIMIT:
         return b" " * (BODY_LIMIT + 1)
@@ -93,15 +97,16 @@
 
 
 class _Channel(http.HTTPChannel):
-    """An incoming connection."""
+    """An incoming connection, with the time of its last request."""
 
     site: "HttpServer"
-    # When the last request came, or else the connection; and whether a worker sent it.
+    # Time at which the last request arrived, or the connection was opened if there was none.
     last_used_at = ZERO
+    # Whether the last request was a worker's heartbeat.
     is_worker = False
 
     def connectionMade(self) -> None:
-        super().connectionMade()  # type: ignore[no-untyped-call]  # Twisted's
+        super().connectionMade()  # type: ignore[no-untyped-call]  # not annotated by Twisted
         self.last_used_at = self.site.clock.now()
         self.site.channels.add(self)
         self.site.connection_budget.on_opened()
@@ -109,13 +114,15 @@
     def connectionLost(self, reason: Any = connectionDone) -> None:
         self.site.channels.discard(self)
         self.site.connection_budget.on_closed()
-        super().connectionLost(reason)  # type: ignore[no-untyped-call]  # Twisted's
+        super().connectionLost(reason)  # type: ignore[no-untyped-call]  # not annotated by Twisted
 
 
 class _Request(server.Request):
+    """A request that goes to the server's only resource without a lookup by path."""
+
     def process(self) -> None:
-        # All paths lead to one resource; finding it, and sending date and server, would cost each of hundreds
-        # of heartbeats a second a tenth of its time.
+        # Twisted's own method looks the resource up by path and sets the Date and Server headers. That takes
+        # a tenth of the time of a heartbeat, and there are hundreds of heartbeats a second.
         channel = cast(_Channel, self.channel)
         channel.last_used_at = channel.site.clock.now()
         channel.is_worker = self.path == HEARTBEAT_PATH
@@ -123,10 +130,10 @@
 
 
 class HttpServer(Site):
-    """Knows its connections, and closes those that nobody uses.
+    """An HTTP server that keeps track of its connections and closes idle ones.
 
-    Those are of machines that died or are partitioned, and of users that reconnected: none of them closes its
-    connection.
+    Machines that failed or are partitioned, and users that reconnected, leave connections open that they no
+    longer use.
     """
 
     def __init__(
@@ -134,40 +141,45 @@
         handler: Handler,
         connection_budget: ConnectionBudget,
         clock: Clock,
-        worker_idle_limit: timedelta,
+        worker_idle_timeout: timedelta,
     ) -> None:
-        # Bodies are JSON; looking whether they are forms takes a quarter of a request's time.
-        super().__init__(  # type: ignore[no-untyped-call]  # Twisted's
+        # Bodies are always JSON. Twisted's check for form data takes a quarter of the time of a request.
+        super().__init__(  # type: ignore[no-untyped-call]  # not annotated by Twisted
             RequestResource(handler), requestFactory=_Request, timeout=None, parsePOSTFormSubmission=False
         )
         self.channels: set[Any] = set()
         self.connection_budget = connection_budget
         self.clock = clock
-        self._worker_idle_limit = worker_idle_limit
+        self._worker_idle_timeout = worker_idle_timeout
 
     def close_idle(self) -> int:
-        """Closes the connections that have been idle for too long; returns how many those were."""
+        """Closes the connections that have been idle for too long, and returns their number."""
         now = self.clock.now()
         under_pressure = self.connection_budget.nearly_exhausted
-        user_limit = USER_IDLE_LIMIT_UNDER_PRESSURE if under_pressure else USER_IDLE_LIMIT
+        user_idle_timeout = USER_IDLE_TIMEOUT_UNDER_PRESSURE if under_pressure else USER_IDLE_TIMEOUT
         idle = [
             channel
             for channel in self.channels
-            if now - channel.last_used_at > (self._worker_idle_limit if channel.is_worker else user_limit)
+            if now - channel.last_used_at
+            > (self._worker_idle_timeout if channel.is_worker else user_idle_timeout)
         ]
         for channel in idle:
-            # At once: what is still to be written to a partitioned machine would keep it open for ever.
+            # An orderly close waits until all pending data is written, which never ends towards a partitioned
+            # machine.
             channel.transport.abortConnection()
         return len(idle)
 
 
 def http_server(
-    handler: Handler, connection_budget: ConnectionBudget, clock: Clock, worker_idle_limit: timedelta
+    handler: Handler, connection_budget: ConnectionBudget, clock: Clock, worker_idle_timeout: timedelta
 ) -> HttpServer:
-    """A server to listen with; a worker's connection is closed once it is idle for `worker_idle_limit`."""
-    site = HttpServer(handler, connection_budget, clock, worker_idle_limit)
-    site.protocol = _Channel  # type: ignore[assignment]  # A channel class makes channels.
+    """The server that passes requests to `handler`.
+
+    `worker_idle_timeout` is how long the connection of a worker may be idle before `close_idle` closes it.
+    """
+    site = HttpServer(handler, connection_budget, clock, worker_idle_timeout)
+    site.protocol = _Channel  # type: ignore[assignment]  # The class is the factory of channels.
     site.displayTracebacks = False
-    # The access log is off: it would cost more than the request itself.
+    # The access log is disabled: writing a line takes longer than the request itself.
     site.log = lambda request: None  # type: ignore[method-assign]
     return site
--- a/spindleglade/http/test_client.py
+++ b/spindleglade/http/test_client.py
@@ -1,4 +1,4 @@
-"""Outgoing connections are counted."""
+"""Tests that outgoing connections are counted in the connection budget."""
 
 from twisted.internet.address import IPv4Address
 from twisted.internet.protocol import Factory, Protocol
--- a/spindleglade/http/test_concurrency.py
+++ b/spindleglade/http/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The limit on requests that are under way at a time, and the reserve of connections."""
+"""Tests of the limit on concurrent requests and of the reserve of connections."""
 
 from twisted.internet.defer import Deferred
 
@@ -10,23 +10,23 @@
 from spindleglade.runtime.clock import ManualClock
 
 
-class SlowRequester:
-    """Responds when the test says so."""
+class ControlledRequester:
+    """Keeps each request pending until the test supplies its response."""
 
     def __init__(self):
-        self.waiting = []
-        self.closings = 0
+        self.pending = []
+        self.idle_close_calls = 0
 
     async def request(self, method, address, path, body=None, timeout=None):
-        self.waiting.append(Deferred())
-        return await self.waiting[-1]
+        self.pending.append(Deferred())
+        return await self.pending[-1]
 
     def close_idle_connections(self):
-        self.closings += 1
+        self.idle_close_calls += 1
 
 
 def send(limiter, count):
-    """Sends so many requests; the list of their results fills as they end."""
+    """Sends `count` requests and returns a list to which each adds its response or ConnectionLimitError."""
     results = []
 
     async def request():
@@ -41,32 +41,32 @@
 
 
 def test_only_so_many_requests_to_machines_are_under_way():
-    """After a change of leader every machine is sent the new leader; all at once would exceed the budget."""
-    http, clock, budget = SlowRequester(), ManualClock(), ConnectionBudget(320)
+    """A new leader announces itself to every machine; sending all at once would exceed the budget."""
+    http, clock, budget = ControlledRequester(), ManualClock(), ConnectionBudget(320)
     limiter = ConcurrencyLimiter(http, clock, budget)
     results = send(limiter, budget.max_concurrent_commands + 5)
-    assert len(http.waiting) == budget.max_concurrent_commands == 20
-    for waiter in http.waiting[:2]:
-        waiter.callback(ClientResponse(200, b""))
-    assert len(http.waiting) == 22
-    # The other three are given up, with an error that says nothing about the machine.
+    assert len(http.pending) == budget.max_concurrent_commands == 20
+    for response in http.pending[:2]:
+        response.callback(ClientResponse(200, b""))
+    assert len(http.pending) == 22
+    # The last three requests time out in the queue, with an error that does not blame the machine.
     clock.advance(MAX_QUEUE_TIME)
     assert [type(result) for result in results] == [ClientResponse] * 2 + [ConnectionLimitError] * 3
-    for waiter in http.waiting[2:]:
-        waiter.callback(ClientResponse(200, b""))
-    assert len(results) == 25 and send(limiter, 20) == [] and len(http.waiting) == 42
+    for response in http.pending[2:]:
+        response.callback(ClientResponse(200, b""))
+    assert len(results) == 25 and send(limiter, 20) == [] and len(http.pending) == 42
 
 
 def test_the_reserve_stays_free_and_nothing_idle_is_kept_near_it():
-    http, budget = SlowRequester(), ConnectionBudget(320)
+    http, budget = ControlledRequester(), ConnectionBudget(320)
     limiter = ConcurrencyLimiter(http, ManualClock(), budget)
     budget.open = 239
     send(limiter, 1)
-    http.waiting.pop().callback(ClientResponse(200, b""))
-    assert http.closings == 0
+    http.pending.pop().callback(ClientResponse(200, b""))
+    assert http.idle_close_calls == 0
     budget.open = 240
     send(limiter, 1)
-    http.waiting.pop().callback(ClientResponse(200, b""))
-    assert http.closings == 1
+    http.pending.pop().callback(ClientResponse(200, b""))
+    assert http.idle_close_calls == 1
     budget.open = 280
-    assert isinstance(send(limiter, 1)[0], ConnectionLimitError) and not http.waiting
+    assert isinstance(send(limiter, 1)[0], ConnectionLimitError) and not http.pending
--- a/spindleglade/http/test_server.py
+++ b/spindleglade/http/test_server.py
@@ -1,4 +1,4 @@
-"""Incoming connections that nobody uses are closed."""
+"""Tests that idle incoming connections are closed."""
 
 import pytest
 from twisted.internet.address import IPv4Address
@@ -10,7 +10,7 @@
 
 
 class Connection:
-    """A connection of a client to the server."""
+    """A client's connection to the server, over an in-memory transport."""
 
     def __init__(self, server):
         self.transport = StringTransport()
@@ -28,29 +28,29 @@
         return False
 
 
-@pytest.mark.parametrize(("under_pressure", "user_idle_limit"), [(False, 60), (True, 15)])
-def test_connections_that_nobody_uses_are_closed(under_pressure, user_idle_limit):
-    """Machines that died or are partitioned never close theirs."""
+@pytest.mark.parametrize(("under_pressure", "user_idle_timeout"), [(False, 60), (True, 15)])
+def test_connections_that_nobody_uses_are_closed(under_pressure, user_idle_timeout):
+    """Machines that failed or are partitioned never close their connections."""
 
     async def handle(method, path, body):
         return HttpResponse(200, b"{}")
 
     clock, budget = ManualClock(), ConnectionBudget(320)
     server = http_server(handle, budget, clock, seconds(14))
-    worker, user, fresh = Connection(server), Connection(server), Connection(server)
+    worker, user, active_worker = Connection(server), Connection(server), Connection(server)
     assert budget.open == 3
     if under_pressure:
         budget.open += 300
     worker.send(b"/v1/report")
     user.send(b"/submissions")
     clock.advance(seconds(13))
-    fresh.send(b"/v1/report")
+    active_worker.send(b"/v1/report")
     assert server.close_idle() == 0
     clock.advance(seconds(1.5))
-    assert server.close_idle() == 1 and worker.closed and not fresh.closed
-    clock.advance(seconds(user_idle_limit - 15))
-    fresh.send(b"/v1/report")
+    assert server.close_idle() == 1 and worker.closed and not active_worker.closed
+    clock.advance(seconds(user_idle_timeout - 15))
+    active_worker.send(b"/v1/report")
     assert server.close_idle() == 0
     clock.advance(seconds(1))
-    assert server.close_idle() == 1 and user.closed and not fresh.closed
+    assert server.close_idle() == 1 and user.closed and not active_worker.closed
     assert len(server.channels) == 1 and budget.open == (301 if under_pressure else 1)
--- a/spindleglade/runtime/__init__.py
+++ b/spindleglade/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Time, background work and logging helpers that every package may use."""
+"""Clocks, background tasks, decoding and log helpers, which every package may import."""
--- a/spindleglade/runtime/background.py
+++ b/spindleglade/runtime/background.py
@@ -1,4 +1,4 @@
-"""Coroutines that run beside the others in the reactor's thread."""
+"""Runs coroutines in the background of the reactor's thread."""
 
 import logging
 from collections.abc import Callable, Coroutine
@@ -11,17 +11,18 @@
 
 log = logging.getLogger("spindleglade")
 
-# How long after its failure a coroutine of `run_forever` begins again.
+# Delay between the failure of a coroutine in `run_forever` and its restart.
 RESTART_DELAY = timedelta(seconds=1)
 
 
 def run_in_background(
-    work: Coroutine[Any, Any, Any], name: str, on_failed: Callable[[str], None] | None = None
+    coroutine: Coroutine[Any, Any, Any], name: str, on_failed: Callable[[str], None] | None = None
 ) -> Deferred[Any]:
-    """Starts a coroutine at once and returns without waiting for its end.
+    """Starts a coroutine immediately and returns without waiting for its result.
 
-    An exception that it raises is logged with its traceback, and `on_failed` is called with the reason. The
-    result fires with what the coroutine returns, None if it raised. To be called in the reactor's thread.
+    If the coroutine raises, the exception is logged with its traceback and `on_failed` is called with the
+    reason as text. The returned Deferred fires with the coroutine's result, or None if it raised. Must be
+    called in the reactor's thread.
     """
 
     def handle_failure(failure: Any) -> None:
@@ -29,17 +30,17 @@
         if on_failed is not None:
             on_failed(f"{name} failed")
 
-    return ensureDeferred(work).addErrback(handle_failure)
+    return ensureDeferred(coroutine).addErrback(handle_failure)
 
 
-def run_forever(clock: Clock, start: Callable[[], Coroutine[Any, Any, Any]], name: str) -> None:
-    """Runs a loop that the controller cannot do without.
+def run_forever(clock: Clock, make_coroutine: Callable[[], Coroutine[Any, Any, Any]], name: str) -> None:
+    """Runs a coroutine in the background and restarts it whenever it raises.
 
-    `start` makes the coroutine. If it raises, that is logged, and it is started again after RESTART_DELAY; if
-    it returns, that is the end. To be called in the reactor's thread.
+    `make_coroutine` creates the coroutine for each start. An exception is logged, and the next start follows
+    after RESTART_DELAY. A coroutine that returns is not restarted. Must be called in the reactor's thread.
     """
 
     def restart_later(_: str) -> None:
-        clock.later(RESTART_DELAY, run_forever, clock, start, name)
+        clock.later(RESTART_DELAY, run_forever, clock, make_coroutine, name)
 
-    run_in_background(start(), name, restart_later)
+    run_in_background(make_coroutine(), name, restart_later)
--- a/spindleglade/runtime/clock.py
+++ b/spindleglade/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The one source of time: everything in the package takes a Clock instead of asking the system."""
+"""Clocks and timers. All code of the package reads the time from a Clock, so that tests can control it."""
 
 import heapq
 import time
@@ -12,84 +12,85 @@
 
 
 def seconds(value: float) -> timedelta:
-    """A duration of so many seconds."""
+    """Converts a number of seconds to a duration."""
     return timedelta(seconds=value)
 
 
 class Clock(Protocol):
-    """Time and timers, to be used in the reactor's thread alone."""
+    """Time and timers. May be used only in the reactor's thread."""
 
     def now(self) -> timedelta:
-        """Monotonic time since the process started."""
+        """Returns the monotonic time since the clock was created."""
         ...
 
     def utc(self) -> datetime:
-        """The time of day. It may jump: only for records and log lines, never to measure a duration."""
+        """Returns the wall-clock time. It may jump, so it is not suitable for measuring durations."""
         ...
 
-    def later(self, delay: timedelta, call: Callable[..., Any], *args: Any) -> Any:
-        """Calls `call` with `args` after `delay`, in the reactor's next iteration if that is not positive.
+    def later(self, delay: timedelta, callback: Callable[..., Any], *args: Any) -> Any:
+        """Calls `callback` with `args` after `delay`, or in the next reactor iteration if it is not positive.
 
-        Returns a timer with `active()` (it has neither fired nor been cancelled) and `cancel()`.
+        Returns a timer with `cancel()` and `active()`, which is true until the timer fires or is cancelled.
         """
         ...
 
 
 class ReactorClock:
-    """The real clock.
+    """The system's clock, with timers of the Twisted reactor.
 
-    Twisted's timers follow the time of day by default, which drifts and jumps on the machines, so the reactor
-    is made to use the monotonic clock as well.
+    Twisted's timers use the wall clock by default, which drifts and jumps on the machines. The reactor is
+    therefore set to use the monotonic clock too.
     """
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
         reactor.seconds = time.monotonic
-        self._start = time.monotonic()
+        self._started_at = time.monotonic()
 
     def now(self) -> timedelta:
         """See Clock."""
-        return timedelta(seconds=time.monotonic() - self._start)
+        return timedelta(seconds=time.monotonic() - self._started_at)
 
     def utc(self) -> datetime:
         """See Clock."""
         return datetime.now(UTC)
 
-    def later(self, delay: timedelta, call: Callable[..., Any], *args: Any) -> Any:
+    def later(self, delay: timedelta, callback: Callable[..., Any], *args: Any) -> Any:
         """See Clock."""
-        return self._reactor.callLater(max(0.0, delay.total_seconds()), call, *args)
+        return self._reactor.callLater(max(0.0, delay.total_seconds()), callback, *args)
 
 
 class ManualClock:
-    """A clock for tests: time passes only in `advance`, which fires the timers in order.
+    """A clock for tests. Time passes only in `advance`, which fires the timers in order of their due times.
 
-    The timers are a heap, since the test of a whole fleet has thousands of them.
+    The timers are kept in a heap because the test of a whole fleet has thousands of them.
     """
 
     def __init__(self) -> None:
         self._now = ZERO
-        # When each timer is due, and its number, which keeps timers of one instant in order.
+        # Heap of (due time, sequence number, timer). The sequence number keeps timers that are due at the
+        # same time in the order of their creation.
         self._timers: list[tuple[timedelta, int, _Timer]] = []
         self._timer_count = 0
 
     def now(self) -> timedelta:
-        """See Clock; zero at first."""
+        """See Clock. Starts at zero."""
         return self._now
 
     def utc(self) -> datetime:
-        """See Clock; the first of January 2026 at first."""
+        """See Clock. Starts at 2026-01-01 00:00."""
         return datetime(2026, 1, 1, tzinfo=UTC) + self.now()
 
-    def later(self, delay: timedelta, call: Callable[..., Any], *args: Any) -> Any:
+    def later(self, delay: timedelta, callback: Callable[..., Any], *args: Any) -> Any:
         """See Clock."""
-        timer = _Timer(call, args)
+        timer = _Timer(callback, args)
         self._timer_count += 1
         heapq.heappush(self._timers, (self._now + max(ZERO, delay), self._timer_count, timer))
         return timer
 
-    def advance(self, delay: timedelta) -> None:
-        """Lets time pass, and fires the timers that become due, also those that others of them start."""
-        end = self._now + delay
+    def advance(self, duration: timedelta) -> None:
+        """Advances the time by `duration` and fires all timers due by then, including those set meanwhile."""
+        end = self._now + duration
         while self._timers and self._timers[0][0] <= end:
             due_at, _, timer = heapq.heappop(self._timers)
             self._now = max(self._now, due_at)
@@ -98,27 +99,27 @@
 
 
 class _Timer:
-    """A timer of the manual clock."""
+    """A timer of ManualClock."""
 
-    def __init__(self, call: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        # None once it has fired or been cancelled.
-        self._call: Callable[..., Any] | None = call
+    def __init__(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
+        # None once the timer has fired or been cancelled.
+        self._callback: Callable[..., Any] | None = callback
         self._args = args
 
     def active(self) -> bool:
-        return self._call is not None
+        return self._callback is not None
 
     def cancel(self) -> None:
-        self._call = None
+        self._callback = None
 
     def fire(self) -> None:
-        call, self._call = self._call, None
-        if call is not None:
-            call(*self._args)
+        callback, self._callback = self._callback, None
+        if callback is not None:
+            callback(*self._args)
 
 
 async def sleep(clock: Clock, delay: timedelta) -> None:
-    """Suspends the calling coroutine for `delay`; other work of the reactor's thread goes on."""
+    """Suspends the calling coroutine for `delay` without blocking the reactor's thread."""
     waiter: Deferred[None] = Deferred()
     clock.later(delay, waiter.callback, None)
     await waiter
--- a/spindleglade/runtime/decoding.py
+++ b/spindleglade/runtime/decoding.py
@@ -1,4 +1,4 @@
-"""Decoding of messages that others send."""
+"""Decoding of messages received from other programs."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -9,12 +9,12 @@
 
 
 def decode(decoder: Callable[[bytes], T], data: bytes) -> T:
-    """What `decoder` makes of the data; raises msgspec.DecodeError on anything malformed.
+    """Decodes data with `decoder`; raises msgspec.DecodeError if the data is malformed.
 
-    That includes data nested too deeply, on which msgspec's decoders raise RecursionError, which no caller
-    expects.
+    Data that is nested too deeply makes msgspec's decoders raise RecursionError, which callers do not handle.
+    It is raised as DecodeError too.
     """
     try:
         return decoder(data)
     except RecursionError as error:
-        raise msgspec.DecodeError("nested too deeply") from error
+        raise msgspec.DecodeError("data is nested too deeply") from error
--- a/spindleglade/runtime/log_throttle.py
+++ b/spindleglade/runtime/log_throttle.py
@@ -1,4 +1,4 @@
-"""Limits how often a log line that could come many times a second is written."""
+"""Rate limit for log lines that could otherwise be written many times a second."""
 
 from datetime import timedelta
 
@@ -6,18 +6,18 @@
 
 
 class LogThrottle:
-    """Allows something at most once per interval."""
+    """Allows one log line per interval."""
 
     def __init__(self, clock: Clock, interval: timedelta) -> None:
         self._clock = clock
         self._interval = interval
-        # When it was last allowed; None before the first time.
-        self._allowed_at: timedelta | None = None
+        # Time at which a line was last allowed; None before the first one.
+        self._last_allowed_at: timedelta | None = None
 
     def allows(self) -> bool:
-        """Whether the line may be written now; if so, not again before the interval has passed."""
+        """Returns whether the line may be written now. If so, the next one is allowed after the interval."""
         now = self._clock.now()
-        if self._allowed_at is not None and now - self._allowed_at < self._interval:
+        if self._last_allowed_at is not None and now - self._last_allowed_at < self._interval:
             return False
-        self._allowed_at = now
+        self._last_allowed_at = now
         return True
--- a/spindleglade/runtime/periodic_task.py
+++ b/spindleglade/runtime/periodic_task.py
@@ -1,8 +1,8 @@
-"""A loop of the leader that survives an error in one of its passes.
+"""A periodic task of the leader that continues after an error in one of its passes.
 
-A loop that ended at an unexpected error while its leader went on renewing the lease would leave that work
-undone for as long as the controller leads. So a loop logs the error, pauses and goes on; whether it has
-stalled tells the leader when that does not help.
+If a task ended at an unexpected error while the leader kept renewing its lease, the task's work would not be
+done for as long as the controller leads. The task therefore logs the error, pauses and continues. If passes
+keep failing or a pass hangs, `stall_reason` reports it, so that the leader can resign.
 """
 
 import logging
@@ -14,19 +14,19 @@
 
 log = logging.getLogger("spindleglade")
 
-# The pause after a pass that failed, for each that failed in a row, and the longest.
+# Pause after a failed pass: this for each consecutive failure, up to the maximum.
 FAILURE_PAUSE = seconds(0.5)
 MAX_FAILURE_PAUSE = seconds(5)
-# A loop has stalled if so many of its passes failed in a row, or one has been under way for so long.
+# A task has stalled after this many consecutive failed passes, or if one pass takes longer than this.
 STALLED_AFTER_FAILURES = 6
 MAX_PASS_DURATION = seconds(30)
 
 
 class PeriodicTask:
-    """Calls `run_pass` again and again in the reactor's thread, one pass at a time.
+    """Calls `run_pass` repeatedly in the reactor's thread, one pass at a time.
 
-    Between two passes, and with `waits_first` before the first one, it waits for `wait_for_next`. `name` is
-    for the log.
+    It awaits `wait_for_next` between two passes, and before the first pass if `waits_first` is set. `name` is
+    used in log lines and in `stall_reason`.
     """
 
     def __init__(
@@ -43,25 +43,25 @@
         self._wait_for_next = wait_for_next
         self._waits_first = waits_first
         self._stopped = False
-        # When the pass under way began.
+        # Time at which the current pass began; None between passes.
         self._pass_started_at: timedelta | None = None
-        # Passes that failed since one did not, and the latest error.
-        self._failures = 0
-        self._error: str | None = None
+        # Failed passes since the last successful one, and the error of the latest failed pass.
+        self._consecutive_failures = 0
+        self._latest_error: str | None = None
 
     def start(self) -> None:
-        """Begins the first pass, or the wait before it; to be called once."""
+        """Starts the first pass, or the wait before it. Must be called only once."""
         run_in_background(self._run(), self._name)
 
     def stop(self) -> None:
-        """Lets no further pass begin; one under way comes to its end."""
+        """Prevents further passes. A pass that is running is not interrupted."""
         self._stopped = True
 
     @property
     def stall_reason(self) -> str | None:
-        """Why the loop gets nothing done; None if it does."""
-        if self._failures >= STALLED_AFTER_FAILURES:
-            return f"{self._name} failed {self._failures} times in a row: {self._error}"
+        """Why the task has stalled, as text; None if it has not."""
+        if self._consecutive_failures >= STALLED_AFTER_FAILURES:
+            return f"{self._name} failed {self._consecutive_failures} times in a row: {self._latest_error}"
         if self._pass_started_at is None:
             return None
         duration = self._clock.now() - self._pass_started_at
@@ -76,22 +76,22 @@
             self._pass_started_at = self._clock.now()
             try:
                 await self._run_pass()
-                self._failures = 0
-            except Exception as error:  # noqa: BLE001  (a task survives whatever fails in one pass)
+                self._consecutive_failures = 0
+            except Exception as error:  # noqa: BLE001  (the task must continue after any error of a pass)
                 self._on_pass_failed(error)
             self._pass_started_at = None
             if self._stopped:
                 return
-            if self._failures:
-                await sleep(self._clock, min(FAILURE_PAUSE * self._failures, MAX_FAILURE_PAUSE))
+            if self._consecutive_failures:
+                await sleep(self._clock, min(FAILURE_PAUSE * self._consecutive_failures, MAX_FAILURE_PAUSE))
             else:
                 await self._wait_for_next()
 
     def _on_pass_failed(self, error: Exception) -> None:
-        """Logs the traceback of a new error, and that alone of one that repeats."""
-        self._failures += 1
-        previous, self._error = self._error, repr(error)
-        if self._failures == 1 or previous != self._error:
+        """Logs the traceback of a new error, and a line without traceback if the same error repeats."""
+        self._consecutive_failures += 1
+        previous_error, self._latest_error = self._latest_error, repr(error)
+        if self._consecutive_failures == 1 or previous_error != self._latest_error:
             log.exception("loop failed and goes on loop=%s", self._name)
         else:
-            log.error("loop failed again loop=%s failures=%d", self._name, self._failures)
+            log.error("loop failed again loop=%s failures=%d", self._name, self._consecutive_failures)
--- a/spindleglade/runtime/test_periodic_task.py
+++ b/spindleglade/runtime/test_periodic_task.py
@@ -1,4 +1,4 @@
-"""Loops that survive an error in a pass."""
+"""Tests of periodic tasks: passes and waits, errors in a pass, and stalls."""
 
 import logging
 
@@ -16,7 +16,7 @@
 
 
 class CountedPasses:
-    """A loop whose passes are counted; each runs `action` with its number."""
+    """A periodic task that records the start time of each pass and calls `action` with the pass number."""
 
     def __init__(self, action, waits_first=False):
         self.clock, self.times, self._action = ManualClock(), [], action
--- a/spindleglade/runtime/test_wakeup.py
+++ b/spindleglade/runtime/test_wakeup.py
@@ -1,12 +1,12 @@
-"""Waiting until woken."""
+"""Tests of waiting for a wakeup."""
 
 from twisted.internet.defer import ensureDeferred
 
 from spindleglade.runtime.wakeup import Wakeup
 
 
-def waiting(wakeup):
-    """Begins to wait; the list holds an entry once the wait has ended."""
+def start_waiting(wakeup):
+    """Starts a wait; the returned list gets an entry when the wait ends."""
     ended = []
     ensureDeferred(wakeup.wait()).addCallback(lambda _: ended.append(True))
     return ended
@@ -14,7 +14,7 @@
 
 def test_a_wait_ends_when_it_is_woken_and_not_before():
     wakeup = Wakeup()
-    ended = waiting(wakeup)
+    ended = start_waiting(wakeup)
     assert not ended
     wakeup.wake()
     assert ended
@@ -23,7 +23,7 @@
 def test_a_wake_without_a_wait_is_not_remembered():
     wakeup = Wakeup()
     wakeup.wake()
-    ended = waiting(wakeup)
+    ended = start_waiting(wakeup)
     assert not ended
     wakeup.wake()
     wakeup.wake()
--- a/spindleglade/runtime/wakeup.py
+++ b/spindleglade/runtime/wakeup.py
@@ -1,17 +1,17 @@
-"""Lets a loop wait until somebody has work for it."""
+"""Lets a loop wait until another part of the program has work for it."""
 
 from twisted.internet.defer import Deferred
 
 
 class Wakeup:
-    """One waiter, and whoever wakes it. Called from the event loop only."""
+    """Wakes one waiting coroutine. Must be used only in the reactor's thread."""
 
     def __init__(self) -> None:
-        # Set while somebody waits.
+        # Fires to end the current wait; None while no coroutine waits.
         self._waiter: Deferred[None] | None = None
 
     def wake(self) -> None:
-        """Ends the wait, if there is one. It is not remembered for a wait that begins later."""
+        """Ends the current wait. Has no effect if there is none, nor on a wait that begins later."""
         if self._waiter is not None:
             waiter, self._waiter = self._waiter, None
             waiter.callback(None)
--- a/spindleglade/settings/__init__.py
+++ b/spindleglade/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of a controller: the platform's JSON file and the operators' own HCL file."""
+"""The settings of a controller: the platform's JSON file and the operators' HCL file."""
 
 from spindleglade.settings.errors import SettingsError
 from spindleglade.settings.operator import OperatorSettings, load_operator
--- a/spindleglade/settings/errors.py
+++ b/spindleglade/settings/errors.py
@@ -1,25 +1,26 @@
-"""The one error that every bad settings file ends in, and how a decoder's errors become it."""
+"""The error raised for every invalid settings file, and its construction from a decoder's error."""
 
 import re
 from typing import NamedTuple, Self
 
-# Stands for the field where the file as a whole is bad.
+# Reported in place of a field if the error concerns the whole file.
 WHOLE_FILE = "(whole file)"
 
-# msgspec says where a value is wrong as `$.params.teams[...].cpus`; operators read `params.teams[...].cpus`.
-_LOCATION = re.compile(r"^(?P<reason>.*?)(?: - at `\$\.?(?P<field>[^`]*)`)?$", re.DOTALL)
+# msgspec appends the path of the invalid value, such as `$.params.teams[...].cpus`, to its message. It is
+# reported without `$.`.
+_DECODER_MESSAGE = re.compile(r"^(?P<reason>.*?)(?: - at `\$\.?(?P<field>[^`]*)`)?$", re.DOTALL)
 _MISSING_FIELD = re.compile(r"^Object missing required field `(?P<name>[^`]*)`$")
 
 
-class FieldProblem(NamedTuple):
-    """What is wrong with which field of a settings file."""
+class FieldError(NamedTuple):
+    """The path of an invalid field in a settings file, and why its value is invalid."""
 
     field: str
     reason: str
 
 
 class SettingsError(Exception):
-    """One line for the operator: the file, the field and the reason."""
+    """Invalid settings. The message is one line with the file, the field and the reason."""
 
     def __init__(self, file: str, field: str, reason: str) -> None:
         super().__init__(f"{file}: {field}: {reason}")
@@ -29,18 +30,18 @@
 
     @classmethod
     def from_decoder(cls, file: str, error: Exception) -> Self:
-        """The error for what a decoder did not accept in a file."""
-        problem = describe_problem(error)
-        return cls(file, problem.field, problem.reason)
+        """Creates the error for a file that a decoder rejected."""
+        field_error = parse_decoder_error(error)
+        return cls(file, field_error.field, field_error.reason)
 
 
-def describe_problem(error: Exception) -> FieldProblem:
-    """The field and the reason out of a decoder's message."""
-    match = _LOCATION.match(str(error).replace("\n", " "))
+def parse_decoder_error(error: Exception) -> FieldError:
+    """Extracts the field and the reason from the message of a decoder's error."""
+    match = _DECODER_MESSAGE.match(str(error).replace("\n", " "))
     assert match
     reason, field = match["reason"], match["field"] or ""
     missing = _MISSING_FIELD.match(reason)
     if missing:
         path = (field, missing["name"])
-        return FieldProblem(".".join(part for part in path if part), "is missing")
-    return FieldProblem(field or WHOLE_FILE, reason)
+        return FieldError(".".join(part for part in path if part), "is missing")
+    return FieldError(field or WHOLE_FILE, reason)
--- a/spindleglade/settings/platform.py
+++ b/spindleglade/settings/platform.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, in JSON. Unknown fields are ignored, those that are used are checked."""
+"""The platform's settings, a JSON file. Unknown fields are ignored; known fields are validated."""
 
 import math
 from datetime import timedelta
@@ -15,7 +15,7 @@
 Address = Annotated[str, msgspec.Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 MAX_PORT = 65535
 MAX_IP_NUMBER = 255
-# The kind of objective that limits how long tasks wait for their start.
+# Kind of the objectives that limit how long tasks wait for their start.
 WAIT_OBJECTIVE = "wait"
 
 
@@ -28,14 +28,14 @@
 
 
 class External(msgspec.Struct, frozen=True):
-    """Where the cloud and the state service are reached."""
+    """Addresses of the cloud and the state service."""
 
     cloud: Address
     state: Address
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guaranteed resources, and the limits on what its tasks use at any moment."""
+    """A team's guaranteed CPUs and GPUs, and the limits on what its tasks use at the same time."""
 
     name: Name
     cpus: Amount = 0.0
@@ -44,14 +44,14 @@
     gpus_max: Amount = 0.0
 
     def __post_init__(self) -> None:
-        # A limit of 0 means that there is none.
+        # In the file a limit of 0 means that there is no limit.
         for limit in ("cpus_max", "gpus_max"):
             if getattr(self, limit) == 0:
                 msgspec.structs.force_setattr(self, limit, math.inf)
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """What the deployment is measured by."""
+    """A service-level objective of the deployment; `within_s` is its time limit in seconds, if it has one."""
 
     kind: str
     job_class: str | None = msgspec.field(name="class", default=None)
@@ -59,7 +59,7 @@
 
 
 class WorkerTimes(msgspec.Struct, frozen=True):
-    """The times of the protocol with the workers."""
+    """Intervals and time limits of the protocol with the workers, in seconds."""
 
     report_s: Positive
     lease_s: Positive
@@ -67,98 +67,103 @@
 
     @property
     def heartbeat_interval(self) -> timedelta:
-        """Time between two heartbeats of a worker."""
+        """The interval between two heartbeats of a worker."""
         return timedelta(seconds=self.report_s)
 
     @property
     def lease(self) -> timedelta:
-        """For how long after its renewal a worker's lease is valid."""
+        """How long a worker's lease is valid after its renewal."""
         return timedelta(seconds=self.lease_s)
 
     @property
     def cancel(self) -> timedelta:
-        """Time within which a confirmed cancellation has stopped all tasks of its job."""
+        """The time within which all tasks of a job have stopped after its cancellation was confirmed."""
         return timedelta(seconds=self.cancel_s)
 
 
-# Changes in one transaction: an election needs two, and the state writer keeps one free.
-Operations = Annotated[int, msgspec.Meta(ge=3)]
-# Share of the largest value that new ones use: they stay well within what the state service accepts.
-VALUE_SHARE = 0.9
+# Maximum number of changes in one transaction. At least 3: an election makes two changes, and the state
+# writer leaves one unused.
+TransactionOperations = Annotated[int, msgspec.Meta(ge=3)]
+# New values use at most this share of the maximum value size, as a margin to what the state service accepts.
+NEW_VALUE_SHARE = 0.9
 
 
 class NextStateLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from an unannounced time on; None: unchanged."""
+    """Limits that the state service will apply from a time not known in advance; None: unchanged."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
     value_kb: Positive | None = None
-    txn_ops: Operations | None = None
+    txn_ops: TransactionOperations | None = None
 
 
 Limit = TypeVar("Limit", int, float)
 
 
-def _smaller(present: Limit, announced: Limit | None) -> Limit:
-    return present if announced is None else min(present, announced)
+def _lower_limit(current: Limit, announced: Limit | None) -> Limit:
+    return current if announced is None else min(current, announced)
 
 
 class StateLimits(msgspec.Struct, frozen=True):
-    """Limits of the state service: requests and writes per second, size of a value, changes at a time."""
+    """Limits of the state service.
+
+    `rps` and `write_rps` are requests and writes per second, `value_kb` is the size of a value in KiB, and
+    `txn_ops` is the number of changes in one transaction. `next` holds announced limits, if there are any.
+    """
 
     rps: Positive
     write_rps: Positive
     value_kb: Positive
-    txn_ops: Operations
+    txn_ops: TransactionOperations
     next: NextStateLimits | None = None
 
     @property
     def lowest(self) -> "StateLimits":
-        """Of each limit the smaller of the present and the announced one."""
+        """The lower one of the current and the announced value of each limit."""
         announced = self.next or NextStateLimits()
         return StateLimits(
-            _smaller(self.rps, announced.rps),
-            _smaller(self.write_rps, announced.write_rps),
-            _smaller(self.value_kb, announced.value_kb),
-            _smaller(self.txn_ops, announced.txn_ops),
+            _lower_limit(self.rps, announced.rps),
+            _lower_limit(self.write_rps, announced.write_rps),
+            _lower_limit(self.value_kb, announced.value_kb),
+            _lower_limit(self.txn_ops, announced.txn_ops),
         )
 
     @property
     def value_bytes(self) -> int:
-        """How large a new value is made, under this limit and the next."""
-        return int(self.lowest.value_kb * 1024 * VALUE_SHARE)
+        """Size in bytes up to which new values are filled, under the current and the announced limit."""
+        return int(self.lowest.value_kb * 1024 * NEW_VALUE_SHARE)
 
     @property
     def largest_new_value(self) -> int:
-        """The size up to which a new value that cannot be made smaller is written at all."""
+        """Size in bytes up to which a new value that cannot be made smaller is still written."""
         return int(self.lowest.value_kb * 1024)
 
     @property
     def largest_value(self) -> int:
-        """The size up to which a value is written that was sized before the limits were announced to fall."""
+        """Maximum size in bytes of a value that was sized before lower limits were announced."""
         return int(self.value_kb * 1024)
 
     @property
     def operations(self) -> int:
-        """Changes in one transaction, under this limit and the next."""
+        """Maximum number of changes in one transaction, under the current and the announced limit."""
         return self.lowest.txn_ops
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Limits of the cloud: requests per second, and how far its list of machines may be behind."""
+    """Limits of the cloud: requests per second, and by how many seconds its list of machines may lag."""
 
     rps: Positive
     list_lag_s: Amount = 0.0
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What the machine allows a controller."""
+    """Limits of the machine that a controller runs on: the number of sockets it may have open."""
 
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024
 
 
 class Params(msgspec.Struct, frozen=True):
-    """What the deployment consists of and has to keep to."""
+    """Teams, zones, objectives, protocol times and limits of the deployment."""
 
     teams: list[Team]
     workers: WorkerTimes
@@ -170,7 +175,7 @@
 
 
 class Platform(msgspec.Struct, frozen=True):
-    """The whole file: one controller's place in the deployment."""
+    """The whole file: the controller's name and addresses, its peers and the deployment's parameters."""
 
     name: Name = msgspec.field(name="node")
     zone: str
@@ -182,7 +187,7 @@
 
     @property
     def controller_count(self) -> int:
-        """All controllers of the deployment, this one included."""
+        """The number of controllers in the deployment, including this one."""
         return len(self.peers) + 1
 
     @property
@@ -192,15 +197,18 @@
 
     @property
     def soonest_start(self) -> timedelta | None:
-        """The shortest time within which an objective wants tasks to start."""
-        limits_s = [
+        """The shortest time within which tasks must start by an objective; None if no objective limits it."""
+        max_waits_s = [
             objective.within_s for objective in self.params.objectives if objective.kind == WAIT_OBJECTIVE
         ]
-        return min((timedelta(seconds=limit) for limit in limits_s if limit is not None), default=None)
+        return min(
+            (timedelta(seconds=max_wait_s) for max_wait_s in max_waits_s if max_wait_s is not None),
+            default=None,
+        )
 
 
 def load_platform(file: str) -> Platform:
-    """Reads and checks the platform's file. Raises SettingsError."""
+    """Reads and validates the platform's file. Raises SettingsError."""
     try:
         text = Path(file).read_bytes()
     except OSError as error:
@@ -215,22 +223,22 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of an address."""
+    """Splits an address into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def _check_unique_names(file: str, settings: Platform) -> None:
-    controllers = [settings.name] + [peer.name for peer in settings.peers]
-    if len(set(controllers)) != len(controllers):
+    controller_names = [settings.name] + [peer.name for peer in settings.peers]
+    if len(set(controller_names)) != len(controller_names):
         raise SettingsError(file, "siblings", "two nodes have the same name")
-    teams = [team.name for team in settings.params.teams]
-    if len(set(teams)) != len(teams):
+    team_names = [team.name for team in settings.params.teams]
+    if len(set(team_names)) != len(team_names):
         raise SettingsError(file, "params.teams", "two teams have the same name")
 
 
 def _check_addresses(file: str, settings: Platform) -> None:
-    """Checks what an address's pattern does not: the ranges of its numbers."""
+    """Checks octets and ports of the controller's own addresses, which Address does not limit."""
     for field, address in (("client_listen", settings.client_listen), ("peer_bind", settings.peer_listen)):
         host, port = split_address(address)
         if port > MAX_PORT or any(int(number) > MAX_IP_NUMBER for number in host.split(".")):
--- a/spindleglade/settings/test_settings.py
+++ b/spindleglade/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Both settings files and the command line, with good and bad input."""
+"""Tests of both settings files and of the command line, with valid and invalid input."""
 
 import json
 import math
@@ -12,7 +12,7 @@
 from spindleglade.settings.operator import OperatorSettings, parse_operator
 from spindleglade.settings.platform import load_platform
 
-GOOD = {
+VALID_SETTINGS = {
     "node": "spindle-0",
     "zone": "a",
     "client_listen": "127.0.0.1:8080",
@@ -30,7 +30,7 @@
     },
 }
 
-PATHS = [
+FIELD_PATHS = [
     ("node",),
     ("client_listen",),
     ("siblings",),
@@ -42,9 +42,9 @@
 ]
 
 
-def changed(path, value, drop=False):
-    """The good settings with another value at a path, or without it."""
-    settings = json.loads(json.dumps(GOOD))
+def settings_with(path, value, drop=False):
+    """Returns the valid settings with another value at a path, or without that field if `drop` is set."""
+    settings = json.loads(json.dumps(VALID_SETTINGS))
     parent = settings
     for key in path[:-1]:
         parent = parent[key]
@@ -55,25 +55,25 @@
     return settings
 
 
-def write(tmp_path, text):
+def write_file(tmp_path, text):
     file = tmp_path / "platform.json"
     file.write_text(text if isinstance(text, str) else json.dumps(text))
     return str(file)
 
 
 def test_unknown_fields_of_the_platform_are_ignored(tmp_path):
-    loaded = load_platform(write(tmp_path, GOOD | {"later": [1, {"x": None}]}))
+    loaded = load_platform(write_file(tmp_path, VALID_SETTINGS | {"later": [1, {"x": None}]}))
     assert loaded.controller_count == 2 and loaded.teams["t"].cpus_max == 8.0 and loaded.soonest_start is None
 
 
 @pytest.mark.parametrize("limits", [{}, {"cpus_max": 0.0, "gpus_max": 0}, {"cpus_max": 0, "gpus_max": 2.0}])
 def test_a_team_limit_of_0_means_no_limit(tmp_path, limits):
     teams = [{"name": "guest", "cpus": 0.0, **limits}]
-    guest = load_platform(write(tmp_path, changed(("params", "teams"), teams))).teams["guest"]
+    guest = load_platform(write_file(tmp_path, settings_with(("params", "teams"), teams))).teams["guest"]
     assert (guest.cpus, guest.cpus_max, guest.gpus_max) == (0.0, math.inf, limits.get("gpus_max") or math.inf)
 
 
-@pytest.mark.parametrize("path", PATHS)
+@pytest.mark.parametrize("path", FIELD_PATHS)
 @pytest.mark.parametrize("value", [None, True, -1, [], {}, "", 1e300])
 def test_a_bad_value_names_its_field(tmp_path, path, value):
     if path == ("siblings",) and value == []:
@@ -81,25 +81,25 @@
     if path == ("params", "teams") and value == []:
         return
     with pytest.raises(SettingsError) as error:
-        load_platform(write(tmp_path, changed(path, value)))
+        load_platform(write_file(tmp_path, settings_with(path, value)))
     assert path[-1] in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("sockets", [None, 0, 63, -1, "many", 1.5])
 def test_a_machine_with_too_few_sockets_is_an_error(tmp_path, sockets):
     with pytest.raises(SettingsError, match="params.machine_limits.sockets"):
-        load_platform(write(tmp_path, changed(("params", "machine_limits"), {"sockets": sockets})))
-    loaded = load_platform(write(tmp_path, changed(("params", "machine_limits"), {"sockets": 64})))
+        load_platform(write_file(tmp_path, settings_with(("params", "machine_limits"), {"sockets": sockets})))
+    loaded = load_platform(write_file(tmp_path, settings_with(("params", "machine_limits"), {"sockets": 64})))
     assert loaded.params.machine_limits.sockets == 64
 
 
-NEXT = ("params", "state", "next")
+ANNOUNCED_LIMITS = ("params", "state", "next")
 
 
 @pytest.mark.parametrize("field", ["rps", "write_rps", "value_kb", "txn_ops"])
 @pytest.mark.parametrize("value", [True, -1, 0, [], {}, "", 1e300])
 def test_a_bad_announced_limit_names_its_field(tmp_path, capsys, field, value):
-    bad = write(tmp_path, changed(NEXT, {field: value}))
+    bad = write_file(tmp_path, settings_with(ANNOUNCED_LIMITS, {field: value}))
     assert main(["check", "--config", bad]) == 2
     error_output = capsys.readouterr().err
     assert (
@@ -112,31 +112,31 @@
 @pytest.mark.parametrize("value", [True, 3, [], "", {"txn_ops": 2}, {"txn_ops": 4.5}])
 def test_malformed_announced_limits_are_an_error(tmp_path, value):
     with pytest.raises(SettingsError, match="params.state.next"):
-        load_platform(write(tmp_path, changed(NEXT, value)))
+        load_platform(write_file(tmp_path, settings_with(ANNOUNCED_LIMITS, value)))
 
 
 @pytest.mark.parametrize(
     "announced", [None, {}, {"value_kb": None}, {"txn_ops": 20, "value_kb": 32, "rps": 1e3, "more": 1}]
 )
 def test_announced_limits_that_are_not_smaller_change_nothing(tmp_path, announced):
-    plain = load_platform(write(tmp_path, GOOD)).params.state
-    limits = load_platform(write(tmp_path, changed(NEXT, announced))).params.state
+    plain = load_platform(write_file(tmp_path, VALID_SETTINGS)).params.state
+    limits = load_platform(write_file(tmp_path, settings_with(ANNOUNCED_LIMITS, announced))).params.state
     assert limits.lowest == plain and limits.operations == 12 and limits.value_bytes == int(16 * 1024 * 0.9)
     assert limits.largest_value == limits.largest_new_value == 16 * 1024
 
 
 def test_the_smaller_of_both_limits_is_used(tmp_path):
     announced = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 28}
-    limits = load_platform(write(tmp_path, changed(NEXT, announced))).params.state
+    limits = load_platform(write_file(tmp_path, settings_with(ANNOUNCED_LIMITS, announced))).params.state
     assert (limits.lowest.rps, limits.lowest.write_rps, limits.operations) == (100.0, 28.0, 4)
     assert limits.value_bytes == int(2 * 1024 * 0.9) and limits.largest_new_value == 2048
     assert limits.largest_value == 16 * 1024
 
 
-@pytest.mark.parametrize("path", PATHS)
+@pytest.mark.parametrize("path", FIELD_PATHS)
 def test_a_missing_field_is_named(tmp_path, path):
     with pytest.raises(SettingsError, match=path[-1]):
-        load_platform(write(tmp_path, changed(path, None, drop=True)))
+        load_platform(write_file(tmp_path, settings_with(path, None, drop=True)))
 
 
 @given(st.text(max_size=60))
@@ -174,7 +174,7 @@
 
 
 def test_the_command_line_reports_bad_input_in_one_line(tmp_path, capsys, monkeypatch):
-    good = write(tmp_path, GOOD)
+    good = write_file(tmp_path, VALID_SETTINGS)
     bad = tmp_path / "bad.hcl"
     bad.write_text("backfill {\n tau = 2\n}\n")
     assert main(["check", "--config", good]) == 0
