--- a/spindleglade/http/client.py
+++ b/spindleglade/http/client.py
@@ -100,7 +100,7 @@
         except NotSentError:
             raise
         except Exception as error:
-            raise NoResponseError(f"{type(error).__name__} {error}", f"{method} {path}") from error
+            raise NoResponseError(f"{type(error).__name__}: {error}", f"{method} {path}") from error
 
     def close_idle_connections(self) -> None:
         """See PooledRequester."""
--- a/spindleglade/http/concurrency.py
+++ b/spindleglade/http/concurrency.py
@@ -40,7 +40,9 @@
         await self._acquire(f"{method} {path}")
         try:
             if self._connection_budget.exhausted:
-                raise ConnectionLimitError("connection budget exhausted", f"{method} {path}")
+                raise ConnectionLimitError(
+                    f"connection budget of {self._connection_budget.limit} exhausted", f"{method} {path}"
+                )
             return await self._http.request(method, address, path, body, timeout)
         finally:
             self._semaphore.release()
@@ -53,6 +55,8 @@
         try:
             await acquired
         except defer.CancelledError as error:
-            raise ConnectionLimitError("too many concurrent requests", operation) from error
+            raise ConnectionLimitError(
+                f"more than {self.max_concurrent} concurrent requests", operation
+            ) from error
         if timer is not None and timer.active():
             timer.cancel()
--- a/spindleglade/runtime/periodic_task.py
+++ b/spindleglade/runtime/periodic_task.py
@@ -66,7 +66,7 @@
             return None
         duration = self._clock.now() - self._pass_started_at
         if duration > MAX_PASS_DURATION:
-            return f"{self._name} has been under way for {duration}"
+            return f"a pass of {self._name} has been running for {duration}, longer than {MAX_PASS_DURATION}"
         return None
 
     async def _run(self) -> None:
--- a/spindleglade/settings/operator.py
+++ b/spindleglade/settings/operator.py
@@ -188,12 +188,12 @@
 def _block_fields(file: str, name: str, blocks: Any) -> dict[str, Any]:
     """Returns the fields of the block `name`, which must occur exactly once."""
     if not isinstance(blocks, list):
-        raise SettingsError(file, name, "must be a block")
+        raise SettingsError(file, name, f"must be a block, got {blocks!r}")
     if len(blocks) != 1:
-        raise SettingsError(file, name, "block given more than once")
+        raise SettingsError(file, name, f"must be given as one block, got {len(blocks)}")
     block = blocks[0]
     if not isinstance(block, dict):
-        raise SettingsError(file, name, "must be a block")
+        raise SettingsError(file, name, f"must be a block, got {block!r}")
     return {
         key: value.strip('"') if isinstance(value, str) else value
         for key, value in block.items()
--- a/spindleglade/settings/platform.py
+++ b/spindleglade/settings/platform.py
@@ -231,10 +231,10 @@
 def _check_unique_names(file: str, settings: Platform) -> None:
     controller_names = [settings.name] + [peer.name for peer in settings.peers]
     if len(set(controller_names)) != len(controller_names):
-        raise SettingsError(file, "siblings", "two nodes have the same name")
+        raise SettingsError(file, "siblings", f"two nodes have the same name: {controller_names}")
     team_names = [team.name for team in settings.params.teams]
     if len(set(team_names)) != len(team_names):
-        raise SettingsError(file, "params.teams", "two teams have the same name")
+        raise SettingsError(file, "params.teams", f"two teams have the same name: {team_names}")
 
 
 def _check_addresses(file: str, settings: Platform) -> None:
@@ -242,4 +242,6 @@
     for field, address in (("client_listen", settings.client_listen), ("peer_bind", settings.peer_listen)):
         host, port = split_address(address)
         if port > MAX_PORT or any(int(number) > MAX_IP_NUMBER for number in host.split(".")):
-            raise SettingsError(file, field, f"not an address: {address}")
+            raise SettingsError(
+                file, field, f"{address} is not an IPv4 address with a port of at most {MAX_PORT}"
+            )
