--- a/spindleglade/settings/operator.py
+++ b/spindleglade/settings/operator.py
@@ -43,9 +43,9 @@
     # guarantee, for other teams that claim theirs. "all": the same, and any task for jobs of a higher
     # priority.
     preempt: Literal["none", "saving", "guarantees", "all"] = "saving"
-    # A job is overdue if none of its tasks has started for this long. Some of its tasks then start before all
-    # other tasks, and capacity is reserved for them. Well below the four minutes within which even the
-    # largest jobs must start.
+    # How long a job with waiting tasks may go without a start before it is overdue. Some of its tasks then
+    # start before all other tasks, and capacity is reserved for them. Well below the four minutes within
+    # which even the largest job must start its first task.
     overdue_after_s: Seconds = msgspec.field(name="overdue_s", default=120.0)
     # Minimum interval between two planning passes.
     planning_interval_s: Seconds = msgspec.field(name="round_s", default=0.1)
@@ -96,8 +96,8 @@
     )
     # A machine that has not sent a heartbeat within this multiple of its nominal boot time is given up.
     boot_patience: Annotated[float, msgspec.Meta(ge=1, le=100)] = 2.5
-    # Backoff after the cloud had no capacity for a machine type, doubled each time up to the maximum. It ends
-    # early when a machine of the type is terminated.
+    # Backoff after the cloud had no capacity in a machine pool, doubled each time up to the maximum. It ends
+    # early when a machine of the pool is terminated.
     capacity_backoff_s: Seconds = msgspec.field(name="refused_s", default=4.0)
     max_capacity_backoff_s: Seconds = msgspec.field(name="refused_most_s", default=30.0)
     # Interval between two requests for the list of machines, and for the list of machine types.
