--- a/spindleglade/cli.py
+++ b/spindleglade/cli.py
@@ -61,7 +61,7 @@
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(_LogFormatter(controller))
     logging.basicConfig(level=LOG_LEVELS[level], handlers=[handler], force=True)
-    # The log format has no thread or process, and collecting them would take time on each line.
+    # The log format shows no thread or process, and looking them up would take time on each line.
     logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
 
 
@@ -70,7 +70,7 @@
     # Imported modules are never freed, so collecting garbage among them, now or later, would only delay the
     # start. Leases of machines that wait for this controller could expire meanwhile.
     gc.disable()
-    # Imported here so that an invalid settings file is reported without the time for these imports.
+    # Imported here so that an invalid settings file is reported without waiting for these imports.
     from twisted.internet import reactor as installed_reactor
     from twisted.python.log import PythonLoggingObserver
 
--- a/spindleglade/fleet/capacity.py
+++ b/spindleglade/fleet/capacity.py
@@ -11,7 +11,7 @@
 from spindleglade.backfill.snapshot import JobView, MachineView
 from spindleglade.fleet.machine_pool import MachineOffer, MachinePool
 
-# Columns of an array of free resources: CPUs, GPUs and memory in GB.
+# Number of columns of an array of free resources: CPUs, GPUs and memory in GB.
 RESOURCE_COUNT = 3
 
 
--- a/spindleglade/fleet/client.py
+++ b/spindleglade/fleet/client.py
@@ -31,7 +31,8 @@
 MAX_TERMINATED_PER_REQUEST = 100
 # Machines in one page of the machine list.
 MACHINES_PER_PAGE = 500
-# Share of the cloud's rate limit that a controller may use steadily. The leader makes nearly all requests.
+# Share of the cloud's rate limit that one controller may use steadily. The other controllers need little of
+# the limit, since the leader makes nearly all requests.
 SUSTAINED_SHARE_OF_RATE = 0.8
 
 HTTP_OK = 200
@@ -92,7 +93,10 @@
         message: msgspec.Struct | None = None,
         is_allowed: Callable[[], bool] | None = None,
     ) -> bytes:
-        """Sends a request and returns the body of the response if the request was carried out."""
+        """Sends a request when the rate limit allows it, and returns the body of the response.
+
+        Raises a `CloudError` if the request was not carried out or its outcome is unknown.
+        """
         operation = f"{method} {path}"
         delay = self._request_tokens.reserve()
         if delay:
--- a/spindleglade/fleet/headroom.py
+++ b/spindleglade/fleet/headroom.py
@@ -42,9 +42,11 @@
             return any(job.is_open for job in self._cluster.jobs.values())
 
     def deficit_cpus(self) -> float:
-        """CPUs that teams may claim by their guarantees beyond the spare, booting and requested CPUs.
+        """The number of CPUs that headroom lacks; negative if there is a surplus.
 
-        The value is negative if there is a surplus. While no job is open, no headroom is kept.
+        Headroom is the share `guarantee_headroom` of the CPUs that teams may still claim by their guarantees.
+        Spare CPUs and those of booting and requested machines cover it. While no job is open, no headroom is
+        kept.
         """
         if not self.has_open_jobs():
             return NO_WORK_DEFICIT_CPUS
--- a/spindleglade/fleet/machine_list.py
+++ b/spindleglade/fleet/machine_list.py
@@ -98,7 +98,8 @@
             self._termination.terminate(failed)
 
     def _introduce_leader_to(self, machine: ListedMachine, known: _KnownMachines) -> None:
-        """Tells the worker of a running machine which controller leads, once and unless it knows already."""
+        """Tells the worker of a running machine which controller leads, unless the worker has been told
+        before or has acknowledged this leader's token."""
         name = machine.name
         if not _is_running(machine) or name in known.acknowledged or name in known.terminated:
             return
--- a/spindleglade/fleet/machine_types.py
+++ b/spindleglade/fleet/machine_types.py
@@ -61,7 +61,8 @@
         if value is None or not (key == TYPES or key.startswith(MORE_TYPES)):
             return
         self._stored_types[key] = msgspec.json.decode(value, type=MachineTypeList).types
-        # The first key is written together with the others or after them, so once it is there all types are.
+        # The first key is written together with the others or after them, so all types are known once it is
+        # there. Sorting by length first puts the numbered keys in numeric order.
         if TYPES in self._stored_types and not self._is_leader():
             keys = sorted(self._stored_types, key=lambda stored: (len(stored), stored))
             self.types = [entry for stored in keys for entry in self._stored_types[stored]]
--- a/spindleglade/fleet/on_demand.py
+++ b/spindleglade/fleet/on_demand.py
@@ -21,8 +21,8 @@
     On-demand machines may be used by:
 
     - All tasks of a job that has waited for `on_demand_delay_s`.
-    - The first tasks of an overdue job none of whose tasks has started: the planner places an eighth of its
-      tasks ahead of other jobs.
+    - The first tasks of an overdue job that has not started any task. These are the tasks that the planner
+      places ahead of other jobs: an eighth of the job's waiting tasks, or all of them if they are a gang.
     - All tasks of a job that has waited for `no_spot_delay_s` while no spot machine was present or booting.
 
     Best-effort jobs get no on-demand machines, since they exist to use capacity that would be idle.
@@ -31,7 +31,7 @@
     def __init__(self, settings: FleetSettings) -> None:
         self._on_demand_delay = seconds(settings.on_demand_delay_s)
         self._no_spot_delay = seconds(settings.no_spot_delay_s)
-        # Job id to the time since when the job has had unplaced demand; without best-effort jobs.
+        # By job id, the time since when the job has had unplaced demand. Contains no best-effort jobs.
         self._waiting_since: dict[str, timedelta] = {}
         # The time since when no spot machine has been present or booting; None while there is one.
         self._no_spot_since: timedelta | None = None
@@ -53,10 +53,10 @@
         has_spot_machines: bool,
         now: timedelta,
     ) -> list[UnplacedDemand]:
-        """The same demand, with `may_use_on_demand` set where on-demand machines may be provisioned for it.
+        """Returns the demand, with `may_use_on_demand` set where on-demand machines may be provisioned.
 
-        `has_begun` tells for a job id whether a task of the job is on a machine or done. `has_spot_machines`
-        tells whether any spot machine is present or booting.
+        `has_begun` returns whether a task of the job with the given id is on a machine or done.
+        `has_spot_machines` tells whether any spot machine is present or booting.
         """
         if has_spot_machines:
             self._no_spot_since = None
@@ -71,21 +71,22 @@
 
     def _has_waited(self, job_id: str, now: timedelta) -> bool:
         """Whether the job has waited so long that all its tasks may use on-demand machines."""
-        since = self._waiting_since.get(job_id)
-        if since is None:
+        waiting_since = self._waiting_since.get(job_id)
+        if waiting_since is None:
             return False
-        if now - since >= self._on_demand_delay:
+        if now - waiting_since >= self._on_demand_delay:
             return True
         return (
-            self._no_spot_since is not None and now - max(since, self._no_spot_since) >= self._no_spot_delay
+            self._no_spot_since is not None
+            and now - max(waiting_since, self._no_spot_since) >= self._no_spot_delay
         )
 
     def _is_first_demand_of_overdue_job(
         self, demand: UnplacedDemand, has_begun: Callable[[str], bool]
     ) -> bool:
         """Whether the demand is for the first tasks of an overdue job, which the planner places ahead of
-        other jobs. A job that failed on several machines runs only one task as a probe, which justifies no
-        machine of its own."""
+        other jobs. The planner leaves `is_overdue` set only in the demand for these tasks. A job that failed
+        on several machines runs only one task as a probe, which justifies no machine of its own."""
         is_waiting = demand.job.id in self._waiting_since
         return (
             is_waiting and demand.job.is_overdue and not demand.job.is_probe and not has_begun(demand.job.id)
--- a/spindleglade/fleet/parameters.py
+++ b/spindleglade/fleet/parameters.py
@@ -61,11 +61,11 @@
 class SilenceLimits:
     """How long a machine may be silent before it is probed or terminated."""
 
-    # After this silence it is probed.
+    # After this silence a machine is probed.
     probe: timedelta
-    # After this silence it is terminated if it left a probe unanswered.
+    # After this silence a machine is terminated if it left a probe unanswered.
     unanswered: timedelta
-    # After this silence it is terminated in any case, since its lease has expired.
+    # After this silence a machine is terminated in any case, since its lease has expired.
     lease: timedelta
 
     @classmethod
--- a/spindleglade/fleet/provisioning.py
+++ b/spindleglade/fleet/provisioning.py
@@ -72,8 +72,8 @@
 
     def chosen_offers(self) -> list[tuple[MachineOffer, int]]:
         """The offers to be requested, each with its number of machines, in the order first chosen."""
-        by_pool = {offer.pool: offer for offer in self._offers}
-        return [(by_pool[pool], count) for pool, count in self._machine_counts.items()]
+        offers_by_pool = {offer.pool: offer for offer in self._offers}
+        return [(offers_by_pool[pool], count) for pool, count in self._machine_counts.items()]
 
     def _cheapest_offer(self, group: _DemandGroup) -> MachineOffer | None:
         """The first offer with the lowest score; None if no offer can run a task of the group."""
@@ -120,8 +120,11 @@
     max_machines: int,
     on_demand: OnDemandUse = ON_DEMAND_FOR_ALL,
 ) -> list[tuple[MachineOffer, int]]:
-    """The offers to be requested, each with its number of machines, within the teams' CPU limits and
-    `max_machines` in total. Allocates from `capacity`, which is changed."""
+    """The offers to be requested, each with its number of machines, `max_machines` in total at most.
+
+    `used_cpus` is the number of CPUs that each team uses already, by team name. No machine is chosen for
+    tasks beyond their team's CPU limit. Tasks that fit into `capacity` are allocated there, which changes it.
+    """
     provisioning = _ProvisioningPlan(offers, capacity, max_machines, on_demand.is_preferred)
     used_by_team = dict(used_cpus)
     for group in _group_demand(unplaced, on_demand):
@@ -129,9 +132,9 @@
         team = teams.get(job.team)
         if team is None:
             continue
-        team_cpus = used_by_team.get(job.team, 0.0)
-        max_tasks = min(group.task_count, job.count_fitting(team.cpus_max - team_cpus, math.inf))
-        used_by_team[job.team] = team_cpus + job.cpus * provisioning.allocate(group, max_tasks)
+        team_used_cpus = used_by_team.get(job.team, 0.0)
+        max_tasks = min(group.task_count, job.count_fitting(team.cpus_max - team_used_cpus, math.inf))
+        used_by_team[job.team] = team_used_cpus + job.cpus * provisioning.allocate(group, max_tasks)
     return provisioning.chosen_offers()
 
 
--- a/spindleglade/fleet/scale_in.py
+++ b/spindleglade/fleet/scale_in.py
@@ -16,7 +16,7 @@
 # A machine that sends heartbeats but receives no messages is terminated after this multiple of the silence
 # limit.
 UNREACHABLE_LIMIT_MULTIPLIER = 2
-# Share of the lease after which an unacknowledged start of a cancelled job has its machine terminated.
+# A machine is terminated if a start of a cancelled job has been unacknowledged for this share of the lease.
 UNACKNOWLEDGED_START_SHARE_OF_LEASE = 1 / 2
 
 
@@ -120,7 +120,7 @@
         """Whether a start of a cancelled job has been unacknowledged for so long that the machine must be
         terminated. The start may still arrive there."""
         limit = self._cluster.policy.lease * UNACKNOWLEDGED_START_SHARE_OF_LEASE
-        return any(now - sent > limit for sent in machine.unacknowledged_starts_of_cancelled_jobs())
+        return any(now - sent_at > limit for sent_at in machine.unacknowledged_starts_of_cancelled_jobs())
 
     def _deduct_if_idle(self, machine: Machine, limits: _IdleLimits, now: timedelta) -> bool:
         """Whether to terminate the machine as idle. If so, deducts its CPUs from `limits.surplus_cpus`."""
--- a/spindleglade/fleet/scale_out.py
+++ b/spindleglade/fleet/scale_out.py
@@ -23,7 +23,8 @@
 
 # Where headroom is needed, all demand may use on-demand machines and they are preferred.
 ON_DEMAND_FOR_HEADROOM = OnDemandUse(is_preferred=True)
-# Otherwise only demand that may not use spot machines, or has `may_use_on_demand` set, gets them.
+# Where no headroom is needed, only demand that may not use spot machines, or has `may_use_on_demand` set, may
+# use on-demand machines.
 ON_DEMAND_WHERE_ALLOWED = OnDemandUse(job_ids=frozenset())
 
 
--- a/spindleglade/fleet/test_provisioning.py
+++ b/spindleglade/fleet/test_provisioning.py
@@ -57,15 +57,16 @@
     assert provision(unplaced, on_demand=OnDemandUse(is_preferred=True)) == [("s", False, 1)]
 
 
-def test_like_demand_is_provisioned_for_as_one():
-    """Jobs with the same requirements are grouped to save time. They get the machines of one large job."""
+def test_jobs_with_the_same_requirements_are_provisioned_for_together():
+    """Such jobs are grouped to save time, and get the same machines as one job with all their tasks."""
     jobs = [UnplacedDemand(job(f"job-{number}", 4.0), 1, False) for number in range(12)]
     together = provision([UnplacedDemand(job("job-0", 4.0), 12, False)])
     assert provision(jobs) == together == [("s", True, 6)]
 
 
 def test_on_demand_machines_are_provisioned_only_for_the_jobs_that_may_use_them():
-    """While all spot machines are in use there is always some demand, which alone justifies no others."""
+    """While all spot machines are in use there is always some unplaced demand. That alone does not justify
+    on-demand machines."""
     unplaced = [UnplacedDemand(job("job-1", 8.0), 1, False), UnplacedDemand(job("job-2", 8.0), 1, False)]
     only_second = OnDemandUse(job_ids=frozenset(["job-2"]))
     assert provision(unplaced, offers=ON_DEMAND_OFFERS, on_demand=ALLOWED_ONLY) == []
--- a/spindleglade/fleet/test_zone_partitions.py
+++ b/spindleglade/fleet/test_zone_partitions.py
@@ -8,7 +8,7 @@
 from spindleglade.workers.machines import Machine
 
 
-def test_a_zone_is_partitioned_from_when_most_of_it_falls_silent_until_a_machine_there_is_heard():
+def test_a_zone_is_partitioned_once_most_machines_there_are_silent_and_until_one_is_heard():
     context = make_context()
     limits = SilenceLimits.from_context(context)
     machines, state = context.cluster.machines, FleetState(limits.lease)
--- a/spindleglade/http/client.py
+++ b/spindleglade/http/client.py
@@ -179,6 +179,8 @@
 
 @implementer(IAgentEndpointFactory)
 class _EndpointFactory:
+    """Creates the endpoints through which Twisted's Agent connects."""
+
     def __init__(self, reactor: Any, connection_budget: ConnectionBudget | None) -> None:
         self._reactor = reactor
         self._connection_budget = connection_budget
--- a/spindleglade/http/concurrency.py
+++ b/spindleglade/http/concurrency.py
@@ -16,8 +16,8 @@
 class ConcurrencyLimiter:
     """A requester that limits its concurrent requests; implements Requester.
 
-    Idle connections are closed after each request while the connection budget is nearly exhausted: after all
-    controllers have restarted, a leader sends a command to every machine at once.
+    While the connection budget is nearly exhausted, idle connections are closed after each request. This
+    matters after all controllers have restarted, when a leader sends a command to every machine at once.
     """
 
     def __init__(self, http: PooledRequester, clock: Clock, connection_budget: ConnectionBudget) -> None:
--- a/spindleglade/http/connection_budget.py
+++ b/spindleglade/http/connection_budget.py
@@ -12,9 +12,9 @@
 # Share of the limit from which no request is sent to a machine. The remaining sockets are reserved for the
 # state service, the cloud, peers and health checks.
 EXHAUSTED_SHARE = 7 / 8
-# Share of the limit that concurrent requests to machines may use, and the number of concurrent requests that
-# is allowed whatever the limit.
+# Share of the limit that concurrent requests to machines may use.
 COMMAND_SHARE = 1 / 16
+# Number of concurrent requests to machines that is allowed even if it exceeds that share.
 MIN_CONCURRENT_COMMANDS = 8
 
 
@@ -32,11 +32,11 @@
         self._exhausted_at = int(limit * EXHAUSTED_SHARE)
 
     def on_opened(self) -> None:
-        """Counts one more connection; called when the attempt to connect starts."""
+        """Counts one more connection; called when one is accepted or an attempt to connect starts."""
         self.open += 1
 
     def on_closed(self) -> None:
-        """Counts one connection less; called when it is closed or could not be made."""
+        """Counts one connection fewer; called when one is closed or an attempt to connect fails."""
         self.open -= 1
 
     @property
--- a/spindleglade/http/server.py
+++ b/spindleglade/http/server.py
@@ -164,8 +164,8 @@
             > (self._worker_idle_timeout if channel.is_worker else user_idle_timeout)
         ]
         for channel in idle:
-            # An orderly close waits until all pending data is written, which never ends towards a partitioned
-            # machine.
+            # An orderly close would wait until all pending data is written, which never happens if the
+            # machine is partitioned.
             channel.transport.abortConnection()
         return len(idle)
 
--- a/spindleglade/http/test_concurrency.py
+++ b/spindleglade/http/test_concurrency.py
@@ -40,7 +40,7 @@
     return results
 
 
-def test_only_so_many_requests_to_machines_are_under_way():
+def test_the_number_of_concurrent_requests_to_machines_is_limited():
     """A new leader announces itself to every machine; sending all at once would exceed the budget."""
     http, clock, budget = ControlledRequester(), ManualClock(), ConnectionBudget(320)
     limiter = ConcurrencyLimiter(http, clock, budget)
@@ -57,7 +57,7 @@
     assert len(results) == 25 and send(limiter, 20) == [] and len(http.pending) == 42
 
 
-def test_the_reserve_stays_free_and_nothing_idle_is_kept_near_it():
+def test_idle_connections_are_closed_near_the_reserve_and_the_reserve_stays_free():
     http, budget = ControlledRequester(), ConnectionBudget(320)
     limiter = ConcurrencyLimiter(http, ManualClock(), budget)
     budget.open = 239
--- a/spindleglade/http/test_server.py
+++ b/spindleglade/http/test_server.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(("under_pressure", "user_idle_timeout"), [(False, 60), (True, 15)])
-def test_connections_that_nobody_uses_are_closed(under_pressure, user_idle_timeout):
+def test_idle_connections_are_closed(under_pressure, user_idle_timeout):
     """Machines that failed or are partitioned never close their connections."""
 
     async def handle(method, path, body):
--- a/spindleglade/runtime/background.py
+++ b/spindleglade/runtime/background.py
@@ -34,7 +34,7 @@
 
 
 def run_forever(clock: Clock, make_coroutine: Callable[[], Coroutine[Any, Any, Any]], name: str) -> None:
-    """Runs a coroutine in the background and restarts it whenever it raises.
+    """Runs a coroutine that the controller cannot do without in the background, and restarts it if it raises.
 
     `make_coroutine` creates the coroutine for each start. An exception is logged, and the next start follows
     after RESTART_DELAY. A coroutine that returns is not restarted. Must be called in the reactor's thread.
--- a/spindleglade/runtime/clock.py
+++ b/spindleglade/runtime/clock.py
@@ -24,7 +24,8 @@
         ...
 
     def utc(self) -> datetime:
-        """Returns the wall-clock time. It may jump, so it is not suitable for measuring durations."""
+        """Returns the wall-clock time. It may jump, so it is only for records and log lines, not to measure
+        durations."""
         ...
 
     def later(self, delay: timedelta, callback: Callable[..., Any], *args: Any) -> Any:
--- a/spindleglade/runtime/decoding.py
+++ b/spindleglade/runtime/decoding.py
@@ -11,8 +11,8 @@
 def decode(decoder: Callable[[bytes], T], data: bytes) -> T:
     """Decodes data with `decoder`; raises msgspec.DecodeError if the data is malformed.
 
-    Data that is nested too deeply makes msgspec's decoders raise RecursionError, which callers do not handle.
-    It is raised as DecodeError too.
+    On data that is nested too deeply, msgspec's decoders raise RecursionError, which callers do not handle.
+    It is therefore replaced by DecodeError.
     """
     try:
         return decoder(data)
--- a/spindleglade/runtime/periodic_task.py
+++ b/spindleglade/runtime/periodic_task.py
@@ -14,11 +14,13 @@
 
 log = logging.getLogger("spindleglade")
 
-# Pause after a failed pass: this for each consecutive failure, up to the maximum.
+# After a failed pass the task pauses for FAILURE_PAUSE times the number of consecutive failed passes, but for
+# MAX_FAILURE_PAUSE at most.
 FAILURE_PAUSE = seconds(0.5)
 MAX_FAILURE_PAUSE = seconds(5)
-# A task has stalled after this many consecutive failed passes, or if one pass takes longer than this.
+# Number of consecutive failed passes after which a task has stalled.
 STALLED_AFTER_FAILURES = 6
+# A task has also stalled while one pass takes longer than this.
 MAX_PASS_DURATION = seconds(30)
 
 
--- a/spindleglade/settings/operator.py
+++ b/spindleglade/settings/operator.py
@@ -40,8 +40,8 @@
     predictor: Literal["distributions", "estimates"] = "distributions"
     # Which running tasks are preempted, and for which jobs. "none": no task. "saving": tasks that save their
     # work and best-effort tasks, for jobs of a higher priority. "guarantees": tasks of teams beyond their
-    # guarantee, for other teams that claim theirs. "all": the same, and any task for jobs of a higher
-    # priority.
+    # guarantee, for jobs of other teams within theirs. "all": the same, and tasks of a lower priority, except
+    # tasks within their team's guarantee for a job of another team beyond its guarantee.
     preempt: Literal["none", "saving", "guarantees", "all"] = "saving"
     # How long a job with waiting tasks may go without a start before it is overdue. Some of its tasks then
     # start before all other tasks, and capacity is reserved for them. Well below the four minutes within
@@ -54,13 +54,12 @@
 class WorkerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Settings of heartbeats, worker leases, commands, and the handling of failing tasks."""
 
-    # Time after the end of its lease at which a silent machine is given up.
+    # A silent machine is terminated this long after the end of its lease.
     silence_margin_s: Seconds = 1.0
-    # Number of missed heartbeats after which a machine is given up earlier if it does not answer a probe
-    # either.
+    # Number of missed heartbeats after which a machine is terminated earlier if it left a probe unanswered.
     missed_heartbeats: Seconds = msgspec.field(name="silent_reports", default=3.5)
-    # A controller whose knowledge of cancellations is out of date renews leases only if they end at least
-    # this long before the time within which a cancellation must take effect.
+    # A controller renews a lease only if the lease will end at least this long before any cancellation that
+    # the controller may not know of yet must have taken effect.
     cancel_margin_s: Seconds = 3.0
     # Timeout of a command sent directly to a machine.
     command_timeout_s: Seconds = msgspec.field(name="order_timeout_s", default=2.0)
@@ -90,11 +89,11 @@
     # than a machine can boot.
     start_objective_idle_s: Seconds = msgspec.field(name="idle_ready_s", default=300.0)
     # Headroom: machines are kept running for this share of the teams' unused guarantees, where an objective
-    # of the deployment limits how long tasks wait for their start.
+    # of the deployment requires tasks to start sooner than a machine can boot.
     guarantee_headroom: Annotated[float, msgspec.Meta(ge=0, le=10)] = msgspec.field(
         name="hold_guarantees", default=1.0
     )
-    # A machine that has not sent a heartbeat within this multiple of its nominal boot time is given up.
+    # A machine that has not sent a heartbeat within this multiple of its nominal boot time is terminated.
     boot_patience: Annotated[float, msgspec.Meta(ge=1, le=100)] = 2.5
     # Backoff after the cloud had no capacity in a machine pool, doubled each time up to the maximum. It ends
     # early when a machine of the pool is terminated.
@@ -115,8 +114,9 @@
 
     # Maximum interval between two catch-ups of a controller's replica with the state service.
     catch_up_interval_s: Seconds = msgspec.field(name="confirm_s", default=1.0)
-    # How long a watch waits for changes, and the timeout of all other requests.
+    # How long the state service may hold a watch request open while there are no changes.
     max_watch_wait_s: Seconds = msgspec.field(name="watch_s", default=15.0)
+    # Timeout of all other requests.
     request_timeout_s: Seconds = msgspec.field(name="timeout_s", default=1.5)
 
 
--- a/spindleglade/settings/platform.py
+++ b/spindleglade/settings/platform.py
@@ -14,7 +14,7 @@
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 Address = Annotated[str, msgspec.Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 MAX_PORT = 65535
-MAX_IP_NUMBER = 255
+MAX_OCTET = 255
 # Kind of the objectives that limit how long tasks wait for their start.
 WAIT_OBJECTIVE = "wait"
 
@@ -77,7 +77,7 @@
 
     @property
     def cancel(self) -> timedelta:
-        """The time within which all tasks of a job have stopped after its cancellation was confirmed."""
+        """The time within which all tasks of a job must have stopped after its cancellation was confirmed."""
         return timedelta(seconds=self.cancel_s)
 
 
@@ -89,7 +89,10 @@
 
 
 class NextStateLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will apply from a time not known in advance; None: unchanged."""
+    """Announced limits of the state service, which will apply from a time not known in advance.
+
+    None means that a limit does not change.
+    """
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -119,7 +122,7 @@
 
     @property
     def lowest(self) -> "StateLimits":
-        """The lower one of the current and the announced value of each limit."""
+        """These limits with the lower of the current and the announced value for each."""
         announced = self.next or NextStateLimits()
         return StateLimits(
             _lower_limit(self.rps, announced.rps),
@@ -197,7 +200,7 @@
 
     @property
     def soonest_start(self) -> timedelta | None:
-        """The shortest time within which tasks must start by an objective; None if no objective limits it."""
+        """The shortest time within which an objective requires tasks to start; None if none requires that."""
         max_waits_s = [
             objective.within_s for objective in self.params.objectives if objective.kind == WAIT_OBJECTIVE
         ]
@@ -238,10 +241,13 @@
 
 
 def _check_addresses(file: str, settings: Platform) -> None:
-    """Checks octets and ports of the controller's own addresses, which Address does not limit."""
+    """Checks the ranges of the octets and ports of the controller's own addresses.
+
+    The pattern of Address checks only their number of digits.
+    """
     for field, address in (("client_listen", settings.client_listen), ("peer_bind", settings.peer_listen)):
         host, port = split_address(address)
-        if port > MAX_PORT or any(int(number) > MAX_IP_NUMBER for number in host.split(".")):
+        if port > MAX_PORT or any(int(octet) > MAX_OCTET for octet in host.split(".")):
             raise SettingsError(
                 file, field, f"{address} is not an IPv4 address with a port of at most {MAX_PORT}"
             )
