--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud by its published protocol: machine types, provisioning, the list of machines, termination."""
+"""A fake cloud that follows the published protocol: machine types, provisioning, listing, termination."""
 
 import random
 from collections.abc import Callable
@@ -12,6 +12,8 @@
 
 @dataclass
 class Machine:
+    """A provisioned machine."""
+
     name: str
     type: str
     zone: str
@@ -25,7 +27,7 @@
 
 
 class Cloud:
-    """Provisions machines; calls `on_booted` and `on_terminated` for those that come up and go."""
+    """Provisions, lists and terminates machines, and calls `on_booted` and `on_terminated` for them."""
 
     def __init__(
         self,
@@ -45,14 +47,14 @@
         self.machines: dict[str, Machine] = {}
         self.provision_answers: dict[str, list[str]] = {}
         self.provisioned_count = 0
-        # Requests refused for lack of capacity.
+        # Provisioning requests rejected for lack of capacity.
         self.refused_count = 0
         self.unavailable = False
-        # No spot machine is to be had.
+        # Whether provisioning requests for spot machines are rejected.
         self.spot_exhausted = False
-        # Machines on one page of the list.
+        # The maximum number of machines on one page of the list.
         self.page_size = 5
-        # How long a machine takes to boot, at the least and at the most, and how many never come up.
+        # The minimum and maximum boot time of a machine, and the share of machines that never finish booting.
         self.boot_time_s = (0.5, 4.0)
         self.boot_failure_probability = 0.1
 
@@ -74,11 +76,14 @@
         page = names[: min(int(query["page"]), self.page_size)]
         return reply(
             200,
-            {"spindles": [self._show(self.machines[n]) for n in page], "has_next": len(page) < len(names)},
+            {
+                "spindles": [self._describe(self.machines[n]) for n in page],
+                "has_next": len(page) < len(names),
+            },
         )
 
-    def _show(self, machine: Machine) -> dict:
-        held = (self.clock.now() - machine.provisioned_at).total_seconds()
+    def _describe(self, machine: Machine) -> dict:
+        held_s = (self.clock.now() - machine.provisioned_at).total_seconds()
         return {
             "ref": machine.name,
             "addr": machine.address,
@@ -86,23 +91,23 @@
             "glade": machine.zone,
             "windfall": machine.spot,
             "stage": machine.state,
-            "held_s": held,
+            "held_s": held_s,
         }
 
-    def _provision(self, ask: dict) -> Reply:
-        if ask["ask"] in self.provision_answers:
-            return reply(200, {"spindles": self.provision_answers[ask["ask"]]})
-        room = self.capacity - len(self.machines)
-        if room <= 0 or (ask["windfall"] and self.spot_exhausted):
+    def _provision(self, request: dict) -> Reply:
+        if request["ask"] in self.provision_answers:
+            return reply(200, {"spindles": self.provision_answers[request["ask"]]})
+        free_capacity = self.capacity - len(self.machines)
+        if free_capacity <= 0 or (request["windfall"] and self.spot_exhausted):
             self.refused_count += 1
             return reply(503, {"error": "no capacity"})
         names = []
-        for _ in range(min(room, ask["how_many"])):
+        for _ in range(min(free_capacity, request["how_many"])):
             machine = Machine(
                 f"n-{self.provisioned_count:06d}",
-                ask["frame"],
-                ask["glade"],
-                ask["windfall"],
+                request["frame"],
+                request["glade"],
+                request["windfall"],
                 self.clock.now(),
             )
             self.provisioned_count += 1
@@ -110,12 +115,12 @@
             names.append(machine.name)
             if self.rng.random() > self.boot_failure_probability:
                 self.clock.later(seconds(self.rng.uniform(*self.boot_time_s)), self._finish_boot, machine)
-        self.provision_answers[ask["ask"]] = names
+        self.provision_answers[request["ask"]] = names
         return reply(200, {"spindles": names})
 
     @property
     def has_capacity(self) -> bool:
-        """Whether an on-demand machine could be provisioned; all work may use those."""
+        """Whether an on-demand machine could be provisioned; every job may run on these."""
         return len(self.machines) < self.capacity
 
     def _finish_boot(self, machine: Machine) -> None:
--- a/tests/fakes/encoding.py
+++ b/tests/fakes/encoding.py
@@ -1,14 +1,14 @@
-"""JSON bodies and HTTP replies, as the fake services write and read them."""
+"""The JSON encoding and the HTTP replies of the fake services and workers."""
 
 from typing import Any
 
 import msgspec
 
 encode, decode = msgspec.json.encode, msgspec.json.decode
-# Status and body.
+# An HTTP status and a body.
 Reply = tuple[int, bytes]
 
 
 def reply(status: int, body: Any = None) -> Reply:
-    """A reply whose body is the JSON of `body`, or an empty object."""
+    """Returns a reply with `body` encoded as JSON, or an empty JSON object if it is None."""
     return status, encode(body if body is not None else {})
--- a/tests/fakes/state_service.py
+++ b/tests/fakes/state_service.py
@@ -1,7 +1,7 @@
-"""The state service by its published protocol: a key-value store with transactions, watches and leases.
+"""A fake state service that follows the published protocol: transactions, watches and leases.
 
-It knows nothing of networks. `handle` takes a request and gives a status and a body, or a Deferred of both
-where the protocol lets the answer wait. Time comes from the clock that it is given.
+It does no networking. `handle` takes a request and returns a status and a body, or a Deferred of both where
+the protocol lets the answer wait. All times come from the clock that it is given.
 """
 
 import math
@@ -17,28 +17,30 @@
 
 
 class TokenBucket:
-    """Permits so many a second, and bursts of one second's worth."""
+    """A rate limiter: permits `rate` operations per second, and bursts of up to `rate` operations."""
 
     def __init__(self, clock: Clock, rate: float) -> None:
         self._clock, self._rate = clock, rate
-        self._left, self._at = rate, clock.now()
+        self._available, self._updated_at = rate, clock.now()
 
     def lower_rate(self, rate: float) -> None:
         self.try_take(0)
-        self._rate, self._left = min(self._rate, rate), min(self._left, rate)
+        self._rate, self._available = min(self._rate, rate), min(self._available, rate)
 
     def try_take(self, count: int = 1) -> bool:
         now = self._clock.now()
-        self._left = min(self._rate, self._left + self._rate * (now - self._at).total_seconds())
-        self._at = now
-        if self._left < count:
+        self._available = min(
+            self._rate, self._available + self._rate * (now - self._updated_at).total_seconds()
+        )
+        self._updated_at = now
+        if self._available < count:
             return False
-        self._left -= count
+        self._available -= count
         return True
 
 
 class StoredValue(NamedTuple):
-    """What stands under one key."""
+    """The value of a key, the revision of its last change, and the lease that it is bound to, if any."""
 
     value: Any
     mod_revision: int
@@ -46,6 +48,8 @@
 
 
 class StateService:
+    """A key-value store in memory, with limits on value sizes, transaction sizes and rates."""
+
     def __init__(
         self,
         clock: Clock,
@@ -56,7 +60,7 @@
     ) -> None:
         self.clock = clock
         self.request_bucket, self.write_bucket = TokenBucket(clock, rps), TokenBucket(clock, write_rps)
-        # Puts and deletes carried out, and requests refused as too many.
+        # The number of puts and deletes executed, and of requests rejected for exceeding a rate limit.
         self.changes = 0
         self.rejected_for_rate = 0
         self.value_kb = value_kb
@@ -69,9 +73,10 @@
         self.next_lease = 1
         self.is_down = False
         self._watches: list[tuple[str, int, Deferred]] = []
-        # Before the limits are lowered nothing over them may be sent at all; after that it gets a 400.
-        self.lowered = False
-        # Transactions refused as too large.
+        # Whether the limits have been lowered. Until then, a transaction over these limits fails the test;
+        # afterwards it is rejected with 400.
+        self.has_lowered_limits = False
+        # The bodies of transactions rejected for too many operations or too large values.
         self.rejected_for_size: list[bytes] = []
 
     def lower_limits(
@@ -81,8 +86,8 @@
         rps: float = math.inf,
         write_rps: float = math.inf,
     ) -> None:
-        """What is stored stays; what is written from now on must keep to the smaller limits."""
-        self.lowered = True
+        """Lowers the limits for all further requests; values that are already stored are kept."""
+        self.has_lowered_limits = True
         self.value_kb = min(self.value_kb, value_kb)
         self.txn_ops = self.txn_ops if txn_ops is None else min(self.txn_ops, txn_ops)
         self.request_bucket.lower_rate(rps)
@@ -123,7 +128,7 @@
         del self.log[: -self.max_log_entries]
         self._notify()
 
-    def _changes(self, prefix: str, since: int) -> list[dict]:
+    def _changes_since(self, prefix: str, since: int) -> list[dict]:
         first = bisect_right(self.log, since, key=lambda change: change["mark"])
         return [
             change
@@ -134,11 +139,11 @@
     def _notify(self) -> None:
         if self.is_down:
             return
-        waiting, self._watches = self._watches, []
-        for prefix, since, waiter in waiting:
+        watches, self._watches = self._watches, []
+        for prefix, since, waiter in watches:
             if waiter.called:
                 continue
-            changes = self._changes(prefix, since)
+            changes = self._changes_since(prefix, since)
             if changes:
                 waiter.callback(reply(200, {"turn": self.revision, "log": changes}))
             else:
@@ -160,11 +165,11 @@
             if not self.write_bucket.try_take(len(txn["writes"])):
                 self.rejected_for_rate += 1
                 return reply(429)
-            over = self._over_limits(txn)
-            if over is not None:
-                assert self.lowered, over
+            exceeded = self._exceeded_limit(txn)
+            if exceeded is not None:
+                assert self.has_lowered_limits, exceeded
                 self.rejected_for_size.append(body)
-                return reply(400, {"error": over})
+                return reply(400, {"error": exceeded})
             return self._txn(txn)
         if parts.path == "/watch":
             return self._watch(query)
@@ -190,7 +195,7 @@
             self.leases[number][1] = self.clock.now() + self.leases[number][0]
         return reply(200)
 
-    def _over_limits(self, txn: dict) -> str | None:
+    def _exceeded_limit(self, txn: dict) -> str | None:
         if len(txn["writes"]) > self.txn_ops or len(txn["when"]) > 4 * self.txn_ops:
             return "too many operations"
         if any(len(encode(write.get("v"))) > self.value_kb * 1024 for write in txn["writes"]):
@@ -202,7 +207,11 @@
         for write in writes:
             if write.get("hold") is not None and write["hold"] not in self.leases:
                 return reply(400, {"error": "no such lease"})
-        failed = [at["k"] for at in when if self.keys.get(at["k"], (None, 0))[1] != at["mark"]]
+        failed = [
+            condition["k"]
+            for condition in when
+            if self.keys.get(condition["k"], (None, 0))[1] != condition["mark"]
+        ]
         if failed:
             return reply(409, {"failed": failed, "turn": self.revision})
         self._write(writes)
@@ -218,14 +227,14 @@
         since, prefix = int(query["since"]), query["starts"]
         if self.revision > self.max_log_entries and since < self.revision - self.max_log_entries:
             return reply(410)
-        changes, wait = self._changes(prefix, since), int(query.get("wait_ms", 0))
+        changes, wait = self._changes_since(prefix, since), int(query.get("wait_ms", 0))
         if changes or wait == 0:
             return reply(200, {"turn": self.revision, "log": changes})
         waiter: Deferred[Reply] = Deferred()
         self._watches.append((prefix, since, waiter))
-        self.clock.later(timedelta(milliseconds=wait), self._watch_over, waiter)
+        self.clock.later(timedelta(milliseconds=wait), self._end_watch, waiter)
         return waiter
 
-    def _watch_over(self, waiter: Deferred) -> None:
+    def _end_watch(self, waiter: Deferred) -> None:
         if not waiter.called and not self.is_down:
             waiter.callback(reply(200, {"turn": self.revision, "log": []}))
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,4 +1,4 @@
-"""A machine's worker by its published protocol: heartbeats, commands, a lease, and tasks that it executes."""
+"""A fake worker that follows the published protocol: heartbeats, commands, a lease and task execution."""
 
 import random
 from collections.abc import Callable
@@ -15,25 +15,32 @@
 
 @dataclass
 class Task:
+    """An attempt of a task on this worker."""
+
     name: str
     attempt: int
     state: str = "pulling"
     cause: str | None = None
     timer: Any = None
-    # What the timer is for, and when: a machine that hangs puts it off.
+    # When the timer fires, and the function and arguments that it calls. Both are kept because a machine that
+    # hangs has to postpone the timer.
     timer_due_at: timedelta = timedelta(0)
     timer_call: tuple[Callable[..., None], tuple] | None = None
 
     def status(self) -> dict:
-        shown = {"thread": self.name, "try": self.attempt, "stage": self.state}
+        fields = {"thread": self.name, "try": self.attempt, "stage": self.state}
         if self.cause is not None:
-            shown["cause"] = self.cause
-        return shown
+            fields["cause"] = self.cause
+        return fields
 
 
 class Worker:
-    """A machine's worker. `jobs` gives the descriptions users uploaded; `send` posts a heartbeat and calls
-    back with the answer or None; `on_started` and `on_ended` are called as tasks begin and cease to run."""
+    """The worker of one machine.
+
+    `jobs` holds the job descriptions that users submitted. `send` posts a heartbeat to a controller and calls
+    back with the answer, or None if there is none. `on_started` and `on_ended` are called with the names of
+    the machine and the task when a task starts and stops running. `error` is the share of attempts that fail.
+    """
 
     def __init__(
         self,
@@ -65,9 +72,9 @@
         self.last_sent_at = clock.now()
         self.terminated = False
         self.terminates_at: timedelta | None = None
-        # While it hangs: until when, and what came meanwhile and waits.
+        # While the machine hangs: when it resumes, and the messages received meanwhile, handled after that.
         self.hung_until: timedelta | None = None
-        self._deferred: list[Callable[[], None]] = []
+        self._held_back: list[Callable[[], None]] = []
         self.next_heartbeat_after = heartbeat_interval
         self._heartbeat_if_due()
         self._check_lease()
@@ -82,7 +89,7 @@
         self.tasks.clear()
 
     def hang(self, length: timedelta) -> None:
-        """It answers nothing and executes nothing, and then goes on. Its lease passes meanwhile."""
+        """Makes the worker answer and execute nothing for a while. Its lease can expire meanwhile."""
         if self.terminated or self.hung_until is not None:
             return
         self.hung_until = self.clock.now() + length
@@ -90,23 +97,23 @@
             if task.timer is not None and task.timer.active():
                 task.timer.cancel()
                 assert task.timer_call is not None
-                call, args = task.timer_call
-                self._after(task, task.timer_due_at + length - self.clock.now(), call, *args)
+                callback, args = task.timer_call
+                self._after(task, task.timer_due_at + length - self.clock.now(), callback, *args)
         self.clock.later(length, self._resume)
 
     def _resume(self) -> None:
         self.hung_until = None
         if self.terminated:
             return
-        # What it knows by itself comes first; then what was sent to it, in order.
+        # The worker checks its own lease first, and then handles the held-back messages in order.
         self._expire_lease()
-        held, self._deferred = self._deferred, []
-        for act in held:
-            act()
+        held_back, self._held_back = self._held_back, []
+        for action in held_back:
+            action()
 
-    def _after(self, task: Task, delay: timedelta, call: Callable[..., None], *args: Any) -> None:
-        task.timer_due_at, task.timer_call = self.clock.now() + delay, (call, args)
-        task.timer = self.clock.later(delay, call, *args)
+    def _after(self, task: Task, delay: timedelta, callback: Callable[..., None], *args: Any) -> None:
+        task.timer_due_at, task.timer_call = self.clock.now() + delay, (callback, args)
+        task.timer = self.clock.later(delay, callback, *args)
 
     def _expire_lease(self) -> None:
         if self.clock.now() - self.last_answered_at > self.lease:
@@ -121,10 +128,10 @@
             return
         if self.hung_until is None:
             self._expire_lease()
-            left = self.last_answered_at + self.lease - self.clock.now()
+            remaining = self.last_answered_at + self.lease - self.clock.now()
         else:
-            left = self.hung_until - self.clock.now()
-        self.clock.later(max(seconds(0.05), left + seconds(0.01)), self._check_lease)
+            remaining = self.hung_until - self.clock.now()
+        self.clock.later(max(seconds(0.05), remaining + seconds(0.01)), self._check_lease)
 
     def heartbeat(self) -> dict:
         self.sequence += 1
@@ -154,7 +161,7 @@
         ):
             self.next_heartbeat_after = self.heartbeat_interval * self.rng.uniform(0.75, 1.25)
             self._send_heartbeat()
-        # A change has to wait for half a second at the most, so nothing needs a closer look.
+        # A change may wait for up to half a second, so a shorter interval is not needed.
         self.clock.later(min(seconds(0.25), self.heartbeat_interval / 10), self._heartbeat_if_due)
 
     def _send_heartbeat(self) -> None:
@@ -166,7 +173,7 @@
             if self.terminated:
                 return
             if self.hung_until is not None:
-                self._deferred.append(lambda: on_answer(answer))
+                self._held_back.append(lambda: on_answer(answer))
                 return
             if self.clock.now() - sent > seconds(4):
                 answer = None
@@ -188,7 +195,7 @@
     def handle(self, method: str, path: str, body: bytes) -> Reply | Deferred:
         if self.hung_until is not None:
             waiter: Deferred[Reply] = Deferred()
-            self._deferred.append(lambda: waiter.callback(self._answer(path, body)))
+            self._held_back.append(lambda: waiter.callback(self._answer(path, body)))
             return waiter
         return self._answer(path, body)
 
@@ -216,7 +223,7 @@
             elif task is not None and task.state == "exited":
                 del self.tasks[key]
 
-    def _free(self) -> tuple[float, float]:
+    def free_resources(self) -> tuple[float, float]:
         cpus, memory = self.machine_type["vcpus"], self.machine_type["mem_gb"]
         for task in self.tasks.values():
             if task.state != "exited":
@@ -234,7 +241,7 @@
         if any(other.name == name and other is not task for other in self.tasks.values()):
             task.state, task.cause = "exited", "in_use"
             return
-        if min(self._free()) < -1e-9:
+        if min(self.free_resources()) < -1e-9:
             task.state, task.cause = "exited", "full"
             return
         self._after(task, seconds(self.rng.uniform(0.0, 1.0)), self._run, task)
@@ -249,22 +256,22 @@
         length = 0.0 if task.name in self.completed else self.run_time_s(task.name)
         self._after(task, seconds(length), self._exit, task, "done")
 
-    def resume(self, task: Task, left: timedelta) -> None:
-        """A task of a recorded day goes on with what it was at."""
+    def resume(self, task: Task, remaining: timedelta) -> None:
+        """Resumes a task of a recorded day in its current state, with this time left in that state."""
         if task.state == "pulling":
-            self._after(task, left, self._run, task)
+            self._after(task, remaining, self._run, task)
         elif task.state == "running":
-            self._after(task, left, self._exit, task, "done")
+            self._after(task, remaining, self._exit, task, "done")
 
     def _exit(self, task: Task, cause: str) -> None:
         if task.state == "exited":
             return
         if task.timer is not None and task.timer.active():
             task.timer.cancel()
-        was_on = task.state == "running"
+        was_running = task.state == "running"
         task.state, task.cause = "exited", cause
         if cause == "done":
             self.completed.add(task.name)
-        if was_on:
+        if was_running:
             self.on_ended(self.machine.name, task.name)
         self.has_changes = True
--- a/tests/invariants/__init__.py
+++ b/tests/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""What must hold in every simulated deployment at every moment."""
+"""Invariants that are checked in every simulated deployment, most of them at every moment."""
--- a/tests/invariants/dependency_invariants.py
+++ b/tests/invariants/dependency_invariants.py
@@ -1,4 +1,4 @@
-"""The rules of chained jobs, checked by where tasks ran in the deployment and what users were told."""
+"""Invariants of job dependencies, checked against the executed tasks and the answers to users."""
 
 from datetime import timedelta
 
@@ -10,18 +10,19 @@
 from tests.simulation.job_records import JobRecords
 
 OVER = ("done", "aborted")
-# Jobs that one message names.
-MAX_NAMED = 5
+# The maximum number of jobs that one message lists.
+MAX_LISTED_JOBS = 5
 
 
 class DependencyInvariants:
-    """Follows the dependencies between a deployment's jobs; what breaks a rule goes to `violations`.
-
-    - `too_early`: a task starts before all jobs that its job needs, directly or through others, are done, or
-      before the store says that they are: reports alone release nothing.
-    - `orphaned`: a job is called pending or running more than `cancel_s` after a user was told that a job
-      before it is aborted, or has a task at all then: it may not have started.
-    - `contradiction`: a job is called done though one before it is called aborted.
+    """Follows the dependencies between jobs, and appends each violation of a rule to `violations`.
+
+    - `too_early`: a task starts before all direct and indirect dependencies of its job are done, or before
+      the store records them as done: heartbeats alone must not release dependents.
+    - `orphaned`: a task of a job starts or runs after a user was told that one of the job's ancestors is
+      aborted, so that the job can never have been released; or the job is reported as pending or running
+      more than `cancel_s` after that.
+    - `contradiction`: a job is reported as done though one of its ancestors is reported as aborted.
     """
 
     def __init__(
@@ -39,75 +40,85 @@
         self.observed_cancelled_at: dict[str, timedelta] = {}
 
     def ancestors(self, job: str) -> frozenset[str]:
-        """All jobs that it needs, directly or through others. They are fixed when it is submitted."""
+        """Returns all direct and indirect dependencies of the job, which are fixed at its submission."""
         if job not in self._ancestors:
             found: set[str] = set()
-            open_jobs = list(self._jobs.descriptions[job].get("awaits") or ())
-            while open_jobs:
-                ancestor = open_jobs.pop()
+            unvisited = list(self._jobs.descriptions[job].get("awaits") or ())
+            while unvisited:
+                ancestor = unvisited.pop()
                 if ancestor in found:
                     continue
                 found.add(ancestor)
-                open_jobs += (
+                unvisited += (
                     self._ancestors.get(ancestor) or self._jobs.descriptions[ancestor].get("awaits") or ()
                 )
             self._ancestors[job] = frozenset(found)
         return self._ancestors[job]
 
     def released(self, job: str) -> bool:
-        """Whether all that it needs is done, by what ran."""
+        """Whether all tasks of all ancestors of the job have completed, as observed at the workers."""
         return all(map(self._executions.is_complete, self.ancestors(job)))
 
     def cancelled(self, job: str) -> bool:
-        """Whether a user has asked to cancel it or a job before it."""
+        """Whether a user has asked to cancel the job or one of its ancestors."""
         requested = self._jobs.cancel_requested
         return job in requested or not requested.isdisjoint(self.ancestors(job))
 
     def cancelled_ancestors(self, job: str) -> list[str]:
-        """The jobs before it that a user was told are aborted."""
+        """Returns the sorted ancestors of the job that a user was told are aborted."""
         return sorted(self.ancestors(job) & self.observed_cancelled_at.keys())
 
     def check_start(self, job: str, task: str) -> None:
-        missing = [one for one in sorted(self.ancestors(job)) if not self._executions.is_complete(one)]
-        if missing:
-            self._violated(f"too_early {task} started while {_some(missing)} are not done")
-        unrecorded = [one for one in sorted(self.ancestors(job)) if not self._is_recorded_done(one)]
-        if unrecorded:
-            self._violated(f"too_early {task} started while no record says that {_some(unrecorded)} are done")
+        not_done = [
+            ancestor for ancestor in sorted(self.ancestors(job)) if not self._executions.is_complete(ancestor)
+        ]
+        if not_done:
+            self._add_violation(f"too_early {task} started while {_abbreviated(not_done)} are not done")
+        not_recorded = [
+            ancestor for ancestor in sorted(self.ancestors(job)) if not self._is_recorded_done(ancestor)
+        ]
+        if not_recorded:
+            self._add_violation(
+                f"too_early {task} started while {_abbreviated(not_recorded)} are not recorded as done"
+            )
         if self.cancelled_ancestors(job):
-            self._violated(f"orphaned {task} started though {self.cancelled_ancestors(job)} are aborted")
+            self._add_violation(f"orphaned {task} started though {self.cancelled_ancestors(job)} are aborted")
 
-    def observe_state(self, job: str, stage: str) -> None:
-        """A user got this answer now."""
+    def observe_state(self, job: str, state: str) -> None:
+        """Records and checks the state of a job in an answer that a user has just got."""
         now = self._clock.now()
-        if stage == "aborted":
+        if state == "aborted":
             self.observed_cancelled_at.setdefault(job, now)
         aborted = self.cancelled_ancestors(job)
-        if stage == "done" and aborted:
-            self._violated(f"contradiction {job} is called done though {aborted} are aborted")
-        since = min((self.observed_cancelled_at[one] for one in aborted), default=now)
-        if stage not in OVER and now - since > CANCEL:
-            self._violated(
-                f"orphaned {job} is called {stage} though one of {aborted} is aborted since {since}"
+        if state == "done" and aborted:
+            self._add_violation(f"contradiction {job} is reported as done though {aborted} are aborted")
+        since = min((self.observed_cancelled_at[ancestor] for ancestor in aborted), default=now)
+        if state not in OVER and now - since > CANCEL:
+            self._add_violation(
+                f"orphaned {job} is reported as {state} though one of {aborted} is aborted since {since}"
             )
 
     def check(self) -> None:
-        """At any moment: no task runs whose job comes after an aborted one."""
+        """Checks that no task runs of a job with an aborted ancestor; called at every step."""
         running = {
             task.rpartition("/")[0] for task, machines in self._executions.running_on.items() if machines
         }
         for job in sorted(running):
             if self.cancelled_ancestors(job):
-                self._violated(f"orphaned {job} has tasks though {self.cancelled_ancestors(job)} are aborted")
+                self._add_violation(
+                    f"orphaned {job} has tasks though {self.cancelled_ancestors(job)} are aborted"
+                )
 
     def _is_recorded_done(self, job: str) -> bool:
         record = self._state.keys.get(JOBS + job)
         return record is not None and record[0]["stage"] == "done"
 
-    def _violated(self, what: str) -> None:
-        self._violations.append(f"{what} at {self._clock.now()}")
+    def _add_violation(self, violation: str) -> None:
+        self._violations.append(f"{violation} at {self._clock.now()}")
 
 
-def _some(jobs: list[str]) -> str:
-    """As many of them as can be read."""
-    return ", ".join(jobs[:MAX_NAMED]) + (f" and {len(jobs) - MAX_NAMED} more" if jobs[MAX_NAMED:] else "")
+def _abbreviated(jobs: list[str]) -> str:
+    """Joins the first `MAX_LISTED_JOBS` job ids, followed by the number of those left out."""
+    return ", ".join(jobs[:MAX_LISTED_JOBS]) + (
+        f" and {len(jobs) - MAX_LISTED_JOBS} more" if jobs[MAX_LISTED_JOBS:] else ""
+    )
--- a/tests/invariants/liveness_invariants.py
+++ b/tests/invariants/liveness_invariants.py
@@ -1,4 +1,4 @@
-"""That the service goes on once all faults are over, checked in every simulated deployment."""
+"""Invariants of liveness: the service makes progress once all faults are over."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING
@@ -10,48 +10,49 @@
     from spindleglade.controller.controller import Controller
     from tests.simulated_deployment import SimulatedDeployment
 
-# How long, once there is no fault, no controller may lead that is entitled to start and to rent.
+# The maximum time without a leader that may start tasks and provision machines, once all faults are over.
 LEADS_WITHIN = seconds(20)
-# How long no task may run while accepted work waits and there is room for it.
+# The maximum time in which no task runs while an accepted job waits and there is capacity for it.
 STARTS_WITHIN = seconds(90)
-# Between two looks.
-LOOK_EVERY = seconds(1)
+# The minimum time between two checks.
+CHECK_INTERVAL = seconds(1)
 
 
 class LivenessInvariants:
-    """Notes in `deployment.violations` what breaks a rule of liveness.
+    """Appends each violation of liveness to `deployment.violations`.
 
-    - `nobody_leads`: for `LEADS_WITHIN` no controller has led, or none that may start tasks and rent.
-    - `stands_still`: no task runs and none has started for `STARTS_WITHIN`, while an accepted job waits whose
-      team is under its limit, and a machine or the cloud has room for it.
+    - `nobody_leads`: for `LEADS_WITHIN` there has been no leader that may start tasks and provision machines.
+    - `stands_still`: no task runs and none has started for `STARTS_WITHIN`, while an accepted job
+      waits although its team is under its limit and a machine or the cloud has capacity for it.
     """
 
     def __init__(self, deployment: "SimulatedDeployment") -> None:
         self._deployment = deployment
-        self._looked = timedelta(0)
-        # Since when there has been no fault, with these controllers' processes.
-        self._quiet_since = timedelta(0)
+        self._checked_at = timedelta(0)
+        # Since when there has been no fault and no change of the running controller processes, and the `id`
+        # of each running controller since then.
+        self._fault_free_since = timedelta(0)
         self._processes: set[int] = set()
-        self._latest_start = timedelta(0)
-        # When a controller last led that may act.
-        self._led = timedelta(0)
+        self._latest_start_at = timedelta(0)
+        # When a leader that may act was last observed.
+        self._last_led_at = timedelta(0)
 
     def on_task_started(self) -> None:
-        self._latest_start = self._deployment.clock.now()
+        self._latest_start_at = self._deployment.clock.now()
 
     def check(self) -> None:
-        """At any moment."""
+        """Checks the leader and the progress of jobs at most once per `CHECK_INTERVAL`."""
         now = self._deployment.clock.now()
-        if now - self._looked < LOOK_EVERY:
+        if now - self._checked_at < CHECK_INTERVAL:
             return
-        self._looked = now
+        self._checked_at = now
         processes = {id(controller) for controller in self._deployment.controllers.values()}
-        if self._troubled() or processes != self._processes:
-            self._quiet_since, self._processes = now, processes
-        self._look_at_leader(now)
-        self._look_at_work(now)
+        if self._has_faults() or processes != self._processes:
+            self._fault_free_since, self._processes = now, processes
+        self._check_leader(now)
+        self._check_progress(now)
 
-    def _troubled(self) -> bool:
+    def _has_faults(self) -> bool:
         deployment = self._deployment
         return (
             deployment.clock.now() < deployment.fault_window.ends_at
@@ -63,20 +64,20 @@
             or bool(deployment.network.unreachable or deployment.network.cannot_report)
         )
 
-    def _look_at_leader(self, now: timedelta) -> None:
+    def _check_leader(self, now: timedelta) -> None:
         leaders = [controller for controller in self._deployment.controllers.values() if controller.is_leader]
         if any(map(_may_act, leaders)):
-            self._led = now
-        elif self._processes and now - max(self._quiet_since, self._led) > LEADS_WITHIN:
-            self._broken(f"nobody_leads: {len(leaders)} lead and none may act")
+            self._last_led_at = now
+        elif self._processes and now - max(self._fault_free_since, self._last_led_at) > LEADS_WITHIN:
+            self._add_violation(f"nobody_leads: {len(leaders)} controllers lead and none of them may act")
 
-    def _look_at_work(self, now: timedelta) -> None:
-        since = max(self._quiet_since, self._latest_start)
+    def _check_progress(self, now: timedelta) -> None:
+        since = max(self._fault_free_since, self._latest_start_at)
         if now - since <= STARTS_WITHIN or any(self._deployment.executions.running_on.values()):
             return
         for job_id in sorted(self._deployment.jobs.accepted):
             if now - self._deployment.jobs.submitted_at[job_id] > STARTS_WITHIN and self._could_start(job_id):
-                self._broken(f"stands_still: {job_id} waits and nothing has started since {since}")
+                self._add_violation(f"stands_still: {job_id} waits and nothing has started since {since}")
                 return
 
     def _could_start(self, job_id: str) -> bool:
@@ -86,14 +87,14 @@
         if deployment.executions.is_complete(job_id) or not deployment.dependencies.released(job_id):
             return False
         job = deployment.jobs.descriptions[job_id]
-        return deployment.service.has_room(job) or deployment.cloud.has_capacity
+        return deployment.service.has_capacity_for(job) or deployment.cloud.has_capacity
 
-    def _broken(self, what: str) -> None:
-        self._deployment.violations.append(f"{what} at {self._deployment.clock.now()}")
+    def _add_violation(self, violation: str) -> None:
+        self._deployment.violations.append(f"{violation} at {self._deployment.clock.now()}")
 
 
 def _may_act(controller: "Controller") -> bool:
-    """Whether the leader may start tasks, and rent and give back machines."""
+    """Whether the leader may start tasks, and provision and terminate machines."""
     return (
         controller.leader is not None
         and controller._leader_cancellation_freshness.permits_renewals
--- a/tests/invariants/placement_invariants.py
+++ b/tests/invariants/placement_invariants.py
@@ -1,4 +1,4 @@
-"""Where and when tasks may run, checked at each start and while they run."""
+"""Invariants of where and when tasks run, checked at each start and while they run."""
 
 from collections.abc import Callable
 
@@ -7,12 +7,12 @@
 from tests.fakes.worker import Worker
 from tests.simulation.job_records import JobRecords, job_of
 
-# For sums of CPUs.
-ROUNDING = 1e-9
+# Rounding errors that are tolerated in sums of CPUs.
+CPU_TOLERANCE = 1e-9
 
 
 class PlacementInvariants:
-    """Notes in `violations` what breaks a rule.
+    """Appends each violation of a rule to `violations`.
 
     - `ran_twice`: a task runs on two machines at once.
     - `ran_cancelled`: a task starts or runs more than `cancel_s` after a user was told that its job is
@@ -31,42 +31,47 @@
     ) -> None:
         self._clock, self._config, self._jobs = clock, config, jobs
         self._workers, self._violations = workers, violations
-        # Starts after a confirmed cancellation that came within `cancel_s`.
+        # Tasks that started after a confirmed cancellation, but still within `cancel_s`, which is allowed.
         self.started_late: list[str] = []
 
     def check_start(self, machine: str, task: str, running_on: dict[str, set[str]], team_cpus: float) -> None:
-        """The task starts on the machine now. `running_on` and the team's CPUs count it."""
-        self._check_single(task, running_on)
+        """Checks a task that starts on a machine now; `running_on` and `team_cpus` already include it."""
+        self._check_not_running_twice(task, running_on)
         self._check_not_cancelled(task)
         self._check_machine(machine, task)
         self._check_zones(task, running_on)
         team = self._jobs.description_of_task(task)["crew"]
-        if team_cpus > self._config.limit(team) + ROUNDING:
-            self._violations.append(f"quota {team} {team_cpus}")
+        if team_cpus > self._config.limit(team) + CPU_TOLERANCE:
+            self._violations.append(f"quota {team} uses {team_cpus}")
 
     def check_after_hang(self, worker: Worker) -> None:
-        """What a machine that hung goes on with may not have been cancelled long ago."""
+        """Checks that a machine resuming from a hang runs no task of a job cancelled over `cancel_s` ago."""
         if worker.terminated:
             return
         for task in worker.tasks.values():
             if task.state == "running" and self._is_overdue(job_of(task.name)):
-                self._violations.append(f"ran_cancelled {task.name} goes on after a hang")
+                self._violations.append(f"ran_cancelled {task.name} still runs after its machine hung")
 
     def check_cancelled(self, job_id: str, machines_of: Callable[[str], list[str]]) -> None:
-        """At any moment, for each cancelled job. What hangs is looked at when it goes on."""
+        """Checks that a cancelled job no longer runs; called at every step.
+
+        Machines that hang are skipped here and checked by `check_after_hang`.
+        """
         if not self._is_overdue(job_id):
             return
-        on = [name for name in machines_of(job_id) if self._workers[name].hung_until is None]
-        if on:
-            self._violations.append(f"ran_cancelled {job_id} still on {on}")
+        machines = [name for name in machines_of(job_id) if self._workers[name].hung_until is None]
+        if machines:
+            self._violations.append(f"ran_cancelled {job_id} still runs on {machines}")
 
     def _is_overdue(self, job_id: str) -> bool:
-        at = self._jobs.cancelled_at.get(job_id)
-        return at is not None and self._clock.now() - at > CANCEL
+        cancelled_at = self._jobs.cancelled_at.get(job_id)
+        return cancelled_at is not None and self._clock.now() - cancelled_at > CANCEL
 
-    def _check_single(self, task: str, running_on: dict[str, set[str]]) -> None:
+    def _check_not_running_twice(self, task: str, running_on: dict[str, set[str]]) -> None:
         if len(running_on[task]) > 1:
-            self._violations.append(f"ran_twice {task} on {sorted(running_on[task])} at {self._clock.now()}")
+            self._violations.append(
+                f"ran_twice {task} runs on {sorted(running_on[task])} at {self._clock.now()}"
+            )
 
     def _check_not_cancelled(self, task: str) -> None:
         if self._is_overdue(job_of(task)):
@@ -75,18 +80,20 @@
             self.started_late.append(task)
 
     def _check_machine(self, machine: str, task: str) -> None:
-        job, at = self._jobs.description_of_task(task), self._workers[machine].machine
-        if (at.spot and not job["windfall"]) or (job["glade"] and at.zone != job["glade"]):
-            self._violations.append(f"wrong_place {task} on {machine}")
+        job, cloud_machine = self._jobs.description_of_task(task), self._workers[machine].machine
+        if (cloud_machine.spot and not job["windfall"]) or (
+            job["glade"] and cloud_machine.zone != job["glade"]
+        ):
+            self._violations.append(f"wrong_place {task} runs on {machine}")
 
     def _check_zones(self, task: str, running_on: dict[str, set[str]]) -> None:
         job = self._jobs.description_of_task(task)
         zones = [
             self._workers[name].machine.zone
-            for other in self._jobs.tasks(job_of(task))
-            for name in running_on.get(other, ())
+            for sibling_task in self._jobs.tasks(job_of(task))
+            for name in running_on.get(sibling_task, ())
         ]
         if job["together"] and len(set(zones)) > 1:
-            self._violations.append(f"wrong_place {task}: not together")
+            self._violations.append(f"wrong_place {task}: its job's tasks run in several zones")
         if job["scatter"] and max(zones.count(zone) for zone in zones) > (job["threads"] + 1) // 2:
-            self._violations.append(f"wrong_place {task}: not scattered")
+            self._violations.append(f"wrong_place {task}: over half of its job's tasks run in one zone")
--- a/tests/invariants/service_invariants.py
+++ b/tests/invariants/service_invariants.py
@@ -1,4 +1,4 @@
-"""What users ask of the service beyond the protocol's rules, checked in simulated deployments."""
+"""Invariants of the service that users get, beyond the rules of the protocol."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -13,51 +13,56 @@
 if TYPE_CHECKING:
     from tests.simulated_deployment import SimulatedDeployment
 
-# How long a job may wait, once all faults are over, while there is room for it.
-IDLE_ROOM = seconds(90)
-# How soon the largest jobs of a class must begin, and the share of each kind of job that must be served.
-BEGINS_WITHIN = seconds(240)
-LEAST_SERVED = 0.5
-# Between two looks for room that stands idle.
-LOOK_EVERY = seconds(2)
-# A task may take so many times as long as its job says.
-LONGEST_RUN = 1.5
+# The maximum time that a job may wait while there is capacity for it, once all faults are over.
+MAX_WAIT_WITH_CAPACITY = seconds(90)
+# The maximum time until the largest jobs of a class start, and the minimum share of done jobs of each class
+# and team.
+MAX_START_DELAY = seconds(240)
+MIN_SERVED_SHARE = 0.5
+# The minimum time between two checks for jobs that wait in spite of free capacity.
+CHECK_INTERVAL = seconds(2)
+# The maximum run time of a task, as a multiple of its job's `run_s`.
+MAX_RUN_TIME_FACTOR = 1.5
 
 
 class ServiceInvariants:
-    """Notes in `violations` which jobs wait though there is room, and checks a whole day at its end."""
+    """Records jobs that wait in spite of free capacity as violations, and checks a whole day at its end."""
 
     def __init__(self, deployment: "SimulatedDeployment") -> None:
         self._deployment = deployment
-        # Since when each job has waited although a machine had room for it; and when that was last looked at.
-        self._passed_over: dict[str, timedelta] = {}
-        self._looked = timedelta(0)
+        # Since when each job has waited although a machine has capacity for it.
+        self._waiting_since: dict[str, timedelta] = {}
+        # The time of the last check.
+        self._checked_at = timedelta(0)
 
-    def served(self, key: Callable[[dict], Any]) -> dict:
-        """By class, team or whatever `key` gives: how much of its jobs is done, of those nobody cancelled."""
-        found: dict = {}
+    def done_shares(self, key: Callable[[dict], Any]) -> dict:
+        """Returns the share of done jobs among those nobody cancelled, by class, team or any other `key`."""
+        outcomes: dict = {}
         for job_id, job in self._deployment.jobs.descriptions.items():
             if not self._deployment.dependencies.cancelled(job_id):
-                found.setdefault(key(job), []).append(
+                outcomes.setdefault(key(job), []).append(
                     self._deployment.jobs.observed_states.get(job_id) == "done"
                 )
-        return {name: sum(done) / len(done) for name, done in found.items()}
+        return {name: sum(done) / len(done) for name, done in outcomes.items()}
 
-    def largest(self) -> set[str]:
-        """Of each class the jobs that take as much as any of it, all tasks together."""
-        most: dict[str, float] = {}
+    def largest_jobs(self) -> set[str]:
+        """Returns the ids of the largest jobs of each class by the total CPUs of all tasks."""
+        max_sizes: dict[str, float] = {}
         for job in self._deployment.jobs.descriptions.values():
-            most[job["bobbin"]] = max(most.get(job["bobbin"], 0.0), size(job))
+            max_sizes[job["bobbin"]] = max(max_sizes.get(job["bobbin"], 0.0), size(job))
         return {
             job_id
             for job_id, job in self._deployment.jobs.descriptions.items()
-            if size(job) >= most[job["bobbin"]]
+            if size(job) >= max_sizes[job["bobbin"]]
         }
 
     def check_day(self) -> None:
-        """Every job known, and half of each class, of each team and of each class's largest jobs served; the
-        largest begun within four minutes."""
-        largest = self.largest()
+        """Checks a whole day at its end.
+
+        Every job must be accepted, `MIN_SERVED_SHARE` of the jobs of each class, of each team and of the
+        largest jobs of each class must be done, and the largest jobs must start within `MAX_START_DELAY`.
+        """
+        largest = self.largest_jobs()
         assert self._deployment.jobs.descriptions.keys() == self._deployment.jobs.accepted, sorted(
             self._deployment.jobs.descriptions.keys() - self._deployment.jobs.accepted
         )
@@ -66,34 +71,39 @@
             lambda job: job["crew"],
             lambda job: (job["bobbin"], job["ref"] in largest),
         ):
-            shares = self.served(key)
-            assert min(shares.values(), default=1.0) >= LEAST_SERVED, shares
+            shares = self.done_shares(key)
+            assert min(shares.values(), default=1.0) >= MIN_SERVED_SHARE, shares
         waits = {
-            job: self._deployment.executions.began_at.get(job, self._deployment.clock.now() + BEGINS_WITHIN)
+            job: self._deployment.executions.began_at.get(job, self._deployment.clock.now() + MAX_START_DELAY)
             - self._deployment.jobs.submitted_at[job]
             for job in largest
             if not self._deployment.dependencies.cancelled(job)
         }
-        late = {job: wait for job, wait in waits.items() if wait >= BEGINS_WITHIN}
+        late = {job: wait for job, wait in waits.items() if wait >= MAX_START_DELAY}
         assert not late, late
 
-    def _room(self) -> tuple[list[tuple[Machine, float, float]], Counter]:
-        """What each machine that is well has free, and the CPUs that each team holds."""
-        free: list[tuple[Machine, float, float]] = []
-        held: Counter[str] = Counter()
+    def _resource_usage(self) -> tuple[list[tuple[Machine, float, float]], Counter]:
+        """Returns the free CPUs and memory of each healthy machine, and the CPUs that each team holds.
+
+        A team holds the CPUs of a task until the worker has cleared the task, even after its exit.
+        """
+        free_resources: list[tuple[Machine, float, float]] = []
+        cpus_held: Counter[str] = Counter()
         for worker in self._deployment.workers.values():
             if worker.terminated:
                 continue
             for name, _ in worker.tasks:
                 job = self._deployment.jobs.descriptions[name.rpartition("/")[0]]
-                held[job["crew"]] += job["vcpus"]
+                cpus_held[job["crew"]] += job["vcpus"]
             if worker.hung_until is None and worker.terminates_at is None:
-                free.append((worker.machine, *worker._free()))
-        return free, held
+                free_resources.append((worker.machine, *worker.free_resources()))
+        return free_resources, cpus_held
 
-    def _fits(self, job: dict, free: list[tuple[Machine, float, float]], held: Counter) -> bool:
-        """Whether a task of the job could start somewhere, by all that the rules say."""
-        if held[job["crew"]] + job["vcpus"] > self._deployment.config.limit(job["crew"]):
+    def _fits(
+        self, job: dict, free_resources: list[tuple[Machine, float, float]], cpus_held: Counter
+    ) -> bool:
+        """Whether a task of the job could start on some machine under the placement rules and team limit."""
+        if cpus_held[job["crew"]] + job["vcpus"] > self._deployment.config.limit(job["crew"]):
             return False
         tasks = (f"{job['ref']}/{index}" for index in range(job["threads"]))
         zones = [
@@ -101,7 +111,7 @@
             for task in tasks
             for name in self._deployment.executions.running_on.get(task, ())
         ]
-        for machine, cpus, memory in free:
+        for machine, cpus, memory in free_resources:
             if (machine.spot and not job["windfall"]) or (job["glade"] and job["glade"] != machine.zone):
                 continue
             if job["together"] and zones and machine.zone not in zones:
@@ -112,26 +122,26 @@
                 return True
         return False
 
-    def has_room(self, job: dict) -> bool:
-        """Whether a task of the job could start on a machine that is there."""
-        return self._fits(job, *self._room())
+    def has_capacity_for(self, job: dict) -> bool:
+        """Whether a task of the job could start on a machine that runs now."""
+        return self._fits(job, *self._resource_usage())
 
     def work(self, team: str) -> timedelta:
-        """How long a team's jobs take at its limit, if each takes as long as it may."""
+        """Returns how long a team's jobs take at its CPU limit if each runs for its maximum time."""
         cpu_s = sum(
-            size(job) * LONGEST_RUN * job["run_s"]
+            size(job) * MAX_RUN_TIME_FACTOR * job["run_s"]
             for job in self._deployment.jobs.descriptions.values()
             if job["crew"] == team
         )
         return seconds(cpu_s / self._deployment.config.limit(team))
 
     def check(self) -> None:
-        """No job may wait for long while a machine that fits has room and its team is under its limit."""
+        """Checks that no job waits too long while a machine and its team's limit allow a start."""
         now = self._deployment.clock.now()
-        if now < self._deployment.fault_window.ends_at or now - self._looked < LOOK_EVERY:
+        if now < self._deployment.fault_window.ends_at or now - self._checked_at < CHECK_INTERVAL:
             return
-        self._looked = now
-        free, held = self._room()
+        self._checked_at = now
+        free_resources, cpus_held = self._resource_usage()
         for job_id in self._deployment.jobs.accepted:
             job = self._deployment.jobs.descriptions[job_id]
             tasks = [f"{job_id}/{index}" for index in range(job["threads"])]
@@ -144,13 +154,15 @@
                     or self._deployment.executions.running_on.get(task)
                     for task in tasks
                 )
-                or not self._fits(job, free, held)
+                or not self._fits(job, free_resources, cpus_held)
             ):
-                self._passed_over.pop(job_id, None)
+                self._waiting_since.pop(job_id, None)
                 continue
             since = max(
-                self._passed_over.setdefault(job_id, now),
+                self._waiting_since.setdefault(job_id, now),
                 self._deployment.executions.latest_start_at.get(job_id, now * 0),
             )
-            if now - since > IDLE_ROOM:
-                self._deployment.violations.append(f"waits {job_id} since {since} while there is room")
+            if now - since > MAX_WAIT_WITH_CAPACITY:
+                self._deployment.violations.append(
+                    f"waits {job_id} since {since} though a machine has capacity for it"
+                )
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of a simulated deployment: network, controllers' processes, machines, users, and faults."""
+"""The parts of a simulated deployment: network, controller processes, machines, users and faults."""
--- a/tests/simulation/connections.py
+++ b/tests/simulation/connections.py
@@ -1,4 +1,4 @@
-"""The connections that controllers hold, counted as their own budgets count them."""
+"""The open connections of each controller, counted by the connection budget of its process."""
 
 from typing import Any
 
@@ -7,28 +7,29 @@
 
 
 class OpenConnections:
-    """Each controller's connections to machines and from workers, and the most that there ever were."""
+    """Counts each controller's connections to machines and from workers, and the highest number ever open."""
 
     def __init__(self, endpoints: Endpoints) -> None:
         self._endpoints = endpoints
         self.budgets: dict[str, ConnectionBudget] = {}
-        self._of_workers: dict[str, ConnectionBudget] = {}
+        # The budget of the controller that each worker is connected to, by the worker's address.
+        self._worker_budgets: dict[str, ConnectionBudget] = {}
         self.most_open = 0
 
     def on_opened(self, controller: str) -> None:
-        """The controller has one connection more."""
-        self._open(self.budgets[controller])
+        """Counts one more open connection of the controller."""
+        self._count_opened(self.budgets[controller])
 
     def connect_worker(self, worker: str, controller: str) -> None:
-        """A worker keeps its connection until it goes to another controller, or that one's process ends."""
-        before = self._of_workers.pop(worker, None)
-        if before is not None:
-            before.on_closed()
+        """Moves a worker's one connection to the controller, or closes it if the controller does not run."""
+        previous = self._worker_budgets.pop(worker, None)
+        if previous is not None:
+            previous.on_closed()
         if controller in self._endpoints.controllers:
             budget = self.budgets[controller]
-            self._of_workers[worker] = budget
-            self._open(budget)
+            self._worker_budgets[worker] = budget
+            self._count_opened(budget)
 
-    def _open(self, budget: Any) -> None:
+    def _count_opened(self, budget: Any) -> None:
         budget.on_opened()
         self.most_open = max(self.most_open, budget.open)
--- a/tests/simulation/controller_processes.py
+++ b/tests/simulation/controller_processes.py
@@ -1,4 +1,4 @@
-"""The processes of controllers in a simulated deployment: each runs real code of some version."""
+"""The controller processes of a simulated deployment; each runs the real code of some version."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -19,12 +19,12 @@
 from tests.simulation.network import SimulatedNetwork
 from tests.versions import CURRENT, Version
 
-# How long work takes that a controller does in another thread.
+# The simulated time that a controller's work in another thread takes.
 COMPUTE_TIME = seconds(0.01)
 
 
 class ControllerProcesses:
-    """Starts and ends controllers. `connect_peers` puts a controller's connections on the network."""
+    """Starts and ends controllers. `connect_peers` puts a controller's peer connections on the network."""
 
     def __init__(
         self,
@@ -44,22 +44,22 @@
         self.clocks: dict[str, LifeClock] = {}
 
     def start(self, index: int) -> None:
-        """Starts a process of the version that the controller has now."""
+        """Starts a process of the version that is set for this controller, the current one by default."""
         name = self._endpoints.controller_names[index]
-        life = self.clocks[name] = LifeClock(self._clock)
+        process_clock = self.clocks[name] = LifeClock(self._clock)
         version = self._endpoints.versions.get(name, CURRENT)
         platform = version.platform(platform_settings(index, self._config))
-        sockets = version.named("http.connection_budget", "ConnectionBudget")(self._config.sockets)
-        self._connections.budgets[name] = viewed(sockets)
-        http = SimHttp(self._network, self._connections, name, life, version)
+        connection_budget = version.named("http.connection_budget", "ConnectionBudget")(self._config.sockets)
+        self._connections.budgets[name] = viewed(connection_budget)
+        http = SimHttp(self._network, self._connections, name, process_clock, version)
         process = version.named("controller.controller", "Controller")(
             platform,
             self._operator_settings(version),
-            life,
+            process_clock,
             http,
-            version.named("http.concurrency", "ConcurrencyLimiter")(http, life, sockets),
-            self._peer_network_factory(name, version, platform, life),
-            _compute_after_a_while(life),
+            version.named("http.concurrency", "ConcurrencyLimiter")(http, process_clock, connection_budget),
+            self._peer_network_factory(name, version, platform, process_clock),
+            _delayed_compute(process_clock),
         )
         controller = viewed(process)
         controller.election._rng = Random(self._rng.random())
@@ -67,36 +67,37 @@
         controller.start()
 
     def start_unless_running(self, index: int) -> None:
-        """Starts the controller unless a fault has done so."""
+        """Starts the controller, unless a fault has restarted it already."""
         if self._endpoints.controller_names[index] not in self._endpoints.controllers:
             self.start(index)
 
     def kill(self, index: int) -> None:
-        """Ends the process, if there is one, and its connections to peers."""
+        """Ends the controller's process, if it runs, and closes its connections to peers."""
         name = self._endpoints.controller_names[index]
         if name in self._endpoints.controllers:
-            life = self.clocks[name]
-            life.alive = False
+            process_clock = self.clocks[name]
+            process_clock.alive = False
             del self._endpoints.controllers[name]
             for connection in list(self._network.peer_connections):
-                connection.end_with(life)
+                connection.close_if_of_process(process_clock)
 
     def announce_limits(self, next_limits: dict[str, float]) -> None:
-        """Processes that start from now on are told of these lower limits of the state service."""
+        """Adds lower limits of the state service to the settings of processes that start from now on."""
         self._config = replace(self._config, next_limits=next_limits)
 
     def _operator_settings(self, version: Version) -> Any:
         return version.module("settings").OperatorSettings() if version.is_production else self._settings
 
     def _peer_network_factory(
-        self, name: str, version: Version, platform: Any, life: LifeClock
+        self, name: str, version: Version, platform: Any, process_clock: LifeClock
     ) -> Callable[..., PeerNetwork]:
-        def connect(*handlers: Any) -> PeerNetwork:
-            # Nobody is told of ended processes: successors wait for the lease, which is harder.
+        def create_peer_network(*handlers: Any) -> PeerNetwork:
+            # Replaces the handler of a peer's ended process: a new leader has to wait until the lease
+            # expires, which is the harder case.
             handlers = (*handlers[:-1], lambda peer: None)
             network = version.named("leadership.peer_network", "PeerNetwork")(
                 None,
-                life,
+                process_clock,
                 platform.siblings if version.is_production else platform.peers,
                 seconds(self._settings.leadership.ping_s),
                 *(handlers if version.is_production else [PeerHandlers(*handlers)]),
@@ -104,13 +105,13 @@
             self._connect_peers(name, viewed(network))
             return network
 
-        return connect
+        return create_peer_network
 
 
-def _compute_after_a_while(life: LifeClock) -> Callable[..., Any]:
+def _delayed_compute(process_clock: LifeClock) -> Callable[..., Any]:
     async def compute(work: Callable[..., Any], *args: Any) -> Any:
         waiter: Deferred[None] = Deferred()
-        life.later(COMPUTE_TIME, waiter.callback, None)
+        process_clock.later(COMPUTE_TIME, waiter.callback, None)
         await waiter
         return work(*args)
 
--- a/tests/simulation/endpoints.py
+++ b/tests/simulation/endpoints.py
@@ -1,4 +1,4 @@
-"""What there is in a simulated deployment to send messages to."""
+"""The services, controllers and workers of a simulated deployment that messages are sent to."""
 
 from dataclasses import dataclass, field
 
@@ -8,29 +8,29 @@
 from tests.fakes.worker import Worker
 from tests.versions import Version
 
-# Names in the network of what is neither a controller nor a machine.
+# Network names of the endpoints that are neither controllers nor machines.
 STATE, CLOUD, USER = "state", "cloud", "user"
 
 
 @dataclass
 class Endpoints:
-    """The services, and by name the controllers that run now and the workers that were ever started."""
+    """The services, the running controllers by name, and all workers ever started by machine name."""
 
     state: StateService
     cloud: Cloud
     controller_names: list[str]
     controllers: dict[str, Controller] = field(default_factory=dict)
     workers: dict[str, Worker] = field(default_factory=dict)
-    # What each controller's next process runs, where it is not the code as it stands.
+    # The version that a controller's next process runs; without an entry it runs the current code.
     versions: dict[str, Version] = field(default_factory=dict)
 
     def leader(self) -> int | None:
-        """The index of the first controller that takes itself for the leader."""
+        """Returns the index of the first controller that considers itself the leader, or None."""
         for index, name in enumerate(self.controller_names):
             if name in self.controllers and self.controllers[name].is_leader:
                 return index
         return None
 
     def machines(self) -> list[Machine]:
-        """Of all workers that were ever started."""
+        """Returns the machines of all workers that were ever started, terminated ones included."""
         return [worker.machine for worker in self.workers.values()]
--- a/tests/simulation/fault_window.py
+++ b/tests/simulation/fault_window.py
@@ -1,4 +1,4 @@
-"""How long faults last, and how often messages and requests fail meanwhile."""
+"""The time until which faults last, and the rates at which messages and requests fail meanwhile."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -7,37 +7,39 @@
 
 
 class FaultWindow:
-    """Until when faults are under way. The service is held to more once the last one is over."""
+    """Records when the last fault ends; stricter rules apply to the service after that."""
 
     def __init__(self, clock: ManualClock) -> None:
         self._clock = clock
         self.ends_at = timedelta(0)
 
     def extend(self, length: timedelta) -> None:
-        """A fault lasts so long from now on."""
+        """Records a fault that lasts for `length` from now on."""
         self.ends_at = max(self.ends_at, self._clock.now() + length)
 
 
 @dataclass
 class FaultRates:
-    """The shares of messages and requests that fail in some way now, and by how much they are delayed."""
+    """The current shares of messages and requests that fail in each way, and their maximum delays."""
 
-    # Messages that are lost.
+    # The share of messages that are lost.
     lost_messages: float = 0.0
-    # Heartbeats of which a late copy comes, at any controller.
+    # The share of heartbeats of which a late copy arrives at a random controller.
     late_heartbeats: float = 0.0
-    # Requests of controllers that arrive a second time.
+    # The share of controllers' POST requests that arrive a second time.
     repeated_requests: float = 0.0
-    # Heartbeats of which a copy is kept until a new leader leads, and then comes to all controllers.
+    # The share of heartbeats of which a copy is kept until a new leader is elected and is then delivered
+    # to all controllers.
     kept_heartbeats: float = 0.0
-    # Transactions without an answer: carried out 2 to 12 s later, or at once.
+    # The shares of transactions that get no answer and are executed 2 to 12 s later, or at once.
     late_writes: float = 0.0
     lost_answers: float = 0.0
-    # The longest that the store takes for an answer, and any message for its way.
+    # The maximum extra delay of an answer of the store, and of any message.
     slow_store: timedelta = timedelta(0)
     slow_links: timedelta = timedelta(0)
-    # Jobs that their user cancels at the moment of their end.
+    # The share of jobs that their user cancels when their last task ends.
     cancel_at_end: float = 0.0
-    # Whether users ask at all controllers at once after each new answer; of that share they cancel as well.
+    # Whether users poll a job at all controllers at once when it is accepted and when it is over, and the
+    # share of accepted jobs that they then cancel too.
     poll_everywhere: bool = False
     cancel_at_once: float = 0.0
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults that tests bring about. Each is in place at once and ends by itself."""
+"""Faults that tests inject. Each takes effect at once and ends after its length has passed."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,17 +17,17 @@
 from tests.simulation.machines import SimulatedMachines
 from tests.simulation.network import SimulatedNetwork
 
-# Between the refusal of the leader alone and the outage for all.
+# Between the store's refusal of the leader and its outage for all controllers.
 OUTAGE_AFTER_REFUSAL = seconds(1)
-# Users that cancel together do so within this time.
-CANCELLED_WITHIN_S = 0.2
+# Users who cancel jobs together do so within this time.
+CANCELLATION_SPREAD_S = 0.2
 HANG_PROBABILITY = 0.5
-# How long a leader is away that makes room for the next one.
-LEADER_AWAY_S = (0.2, 0.8, 3.0, 9.0)
+# How long the process of a leader that was ended stays down.
+LEADER_DOWNTIMES_S = (0.2, 0.8, 3.0, 9.0)
 
 
 class Faults:
-    """Makes the store, the network, controllers and machines fail for a while."""
+    """Injects faults of the store, the network, controllers and machines, and bursts of cancellations."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         placement: PlacementInvariants,
         cancel: Callable[[str], None],
     ) -> None:
-        """`cancel` has a user cancel a job."""
+        """`cancel` makes a user cancel a job, given by its id."""
         self._clock, self._rng, self._window, self._rates, self._counts = clock, rng, window, rates, counts
         self._endpoints, self._network = endpoints, network
         self._processes, self._machines = processes, machines
@@ -53,96 +53,96 @@
         self._cancel = cancel
 
     def during(self, length: timedelta, rate: str, value: Any) -> None:
-        """Sets one of the fault rates for a while."""
+        """Sets one field of the fault rates for the given time, and then resets it to zero or False."""
         self._window.extend(length)
-        none = type(getattr(self._rates, rate))()
+        zero = type(getattr(self._rates, rate))()
         setattr(self._rates, rate, value)
-        self._clock.later(length, setattr, self._rates, rate, none)
+        self._clock.later(length, setattr, self._rates, rate, zero)
 
     # The store.
 
     def outage(self, length: timedelta) -> None:
-        """The store answers nobody."""
+        """Makes the store unavailable to all controllers."""
         self._window.extend(length)
         self._endpoints.state.outage(length)
 
     def refuse(self, index: int, length: timedelta) -> None:
-        """The store answers this controller alone with 503."""
+        """Makes the store answer this controller, and no other, with 503."""
         name = self._endpoints.controller_names[index]
         self._window.extend(length)
         self._network.refused_by_store.add(name)
         self._clock.later(length, self._network.refused_by_store.discard, name)
 
-    def refuse_leader_then_outage(self, alone: timedelta, length: timedelta) -> None:
-        """The store refuses the leader alone, and a second later it is down for all."""
+    def refuse_leader_then_outage(self, refusal_length: timedelta, length: timedelta) -> None:
+        """Makes the store refuse the leader only, and a second later makes it unavailable to all."""
         leader = self._endpoints.leader()
         if leader is not None:
-            self.refuse(leader, alone)
+            self.refuse(leader, refusal_length)
         self._clock.later(OUTAGE_AFTER_REFUSAL, self.outage, length)
 
     # Controllers.
 
-    def restart(self, index: int, away: timedelta) -> None:
-        """The controller's process ends; another one starts after that time."""
-        self._window.extend(away)
+    def restart(self, index: int, downtime: timedelta) -> None:
+        """Ends the controller's process, and starts another one after the given downtime."""
+        self._window.extend(downtime)
         self._processes.kill(index)
-        self._clock.later(away, self._processes.start_unless_running, index)
+        self._clock.later(downtime, self._processes.start_unless_running, index)
 
-    def restart_leader(self, away: timedelta) -> None:
-        """The same with whoever leads now, if anybody does."""
+    def restart_leader(self, downtime: timedelta) -> None:
+        """Restarts the current leader, if there is one."""
         leader = self._endpoints.leader()
         if leader is not None:
-            self.restart(leader, away)
+            self.restart(leader, downtime)
 
-    def change_leaders(self, changes: int, span: timedelta) -> None:
-        """Leader after leader ends and is back a while later, or at once."""
-        self._window.extend(span)
+    def change_leaders(self, changes: int, length: timedelta) -> None:
+        """Ends the current leader `changes` times, spread evenly over `length`; each restarts later."""
+        self._window.extend(length)
 
         def end_leader() -> None:
             leader = self._endpoints.leader()
             if leader is not None:
                 self._counts["leaders ended"] += 1
-                self.restart(leader, seconds(self._rng.choice(LEADER_AWAY_S)))
+                self.restart(leader, seconds(self._rng.choice(LEADER_DOWNTIMES_S)))
 
         for number in range(changes):
-            self._clock.later(span * number / changes, end_leader)
+            self._clock.later(length * number / changes, end_leader)
 
     def freeze(self, index: int, length: timedelta) -> None:
-        """The process stands still; what is sent to it waits."""
+        """Pauses the process; messages to and from it are queued until it resumes."""
         name = self._endpoints.controller_names[index]
         if name in self._endpoints.controllers:
-            life: LifeClock = self._processes.clocks[name]
-            life.frozen = self._clock.now() + length
+            process_clock: LifeClock = self._processes.clocks[name]
+            process_clock.frozen = self._clock.now() + length
             self._network.cut_off(name, True, length)
 
     def silence(self, index: int, length: timedelta) -> None:
-        """It says nothing more, and nothing that is sent to it arrives, though connections to it are made."""
+        """Drops all messages to and from the controller, while connections to it are still accepted."""
         name = self._endpoints.controller_names[index]
         self._network.silent.add(name)
         self._clock.later(length, self._network.silent.discard, name)
         self._network.cut_off(name, False, length)
 
-    def isolate(self, index: int, hold: bool, length: timedelta) -> None:
-        """No store and no peers, while workers and users still reach it."""
+    def isolate(self, index: int, queue_messages: bool, length: timedelta) -> None:
+        """Cuts the controller off from the store and its peers, while workers and users still reach it."""
         names = self._endpoints.controller_names
-        self._network.cut(names[index], [*names, STATE], hold, length)
+        self._network.cut(names[index], [*names, STATE], queue_messages, length)
 
     # Machines.
 
     def make_unreachable(self, machine: str, length: timedelta) -> None:
-        """Neither answers nor commands reach the machine, while its heartbeats arrive."""
+        """Drops answers and commands to the machine, while its heartbeats arrive at controllers."""
         self._window.extend(length)
         self._network.unreachable.add(machine)
         self._clock.later(length, self._network.unreachable.discard, machine)
 
     def stop_heartbeats(self, machine: str, length: timedelta) -> None:
-        """The machine reaches no controller, while direct commands reach it."""
+        """Drops the machine's heartbeats, while direct commands reach it."""
         self._window.extend(length)
         self._network.cannot_report.add(machine)
         self._clock.later(length, self._network.cannot_report.discard, machine)
 
     def hang(self, machine: str, length: timedelta) -> None:
-        """The machine, by name or address, does nothing, and then goes on."""
+        """Makes the machine, given by name or address, hang for the given time and then resume."""
         worker = self._endpoints.workers.get(machine.partition(":")[0])
         if worker is not None and not worker.terminated:
             self._counts["hung"] += 1
@@ -151,7 +151,7 @@
             self._clock.later(length, self._placement.check_after_hang, worker)
 
     def give_notice(self, name: str, length: timedelta) -> None:
-        """The cloud takes the machine away after a notice."""
+        """Gives notice that the cloud terminates the machine after the given time, and terminates it then."""
         self._window.extend(length)
         worker = self._endpoints.workers[name]
         worker.terminates_at = self._clock.now() + length
@@ -164,7 +164,7 @@
         self._clock.later(length, terminate)
 
     def kill_machine(self, name: str) -> None:
-        """The machine is lost without notice."""
+        """Makes the machine fail without notice."""
         self._window.extend(timedelta(0))
         machines = self._endpoints.cloud.machines
         if name in machines:
@@ -173,18 +173,21 @@
 
     # Users.
 
-    def cancel_running(self, count: int, hang: timedelta) -> None:
-        """Users cancel running jobs within a fifth of a second; some of their machines hang then."""
+    def cancel_running(self, count: int, hang_length: timedelta) -> None:
+        """Cancels up to `count` running jobs within 0.2 s.
+
+        Unless `hang_length` is zero, one machine of about half of the jobs hangs for that time first.
+        """
         running = [
             job
             for job in self._jobs.descriptions
             if self._executions.machines_of(job) and job not in self._jobs.cancel_requested
         ]
-        self._window.extend(seconds(CANCELLED_WITHIN_S))
+        self._window.extend(seconds(CANCELLATION_SPREAD_S))
         for job in self._rng.sample(running, min(count, len(running))):
             self._counts["cancelled now"] += 1
             machines = self._executions.machines_of(job)
-            if hang and self._rng.random() < HANG_PROBABILITY:
-                self.hang(self._rng.choice(machines), hang)
-            delay = seconds(self._rng.uniform(0, CANCELLED_WITHIN_S))
+            if hang_length and self._rng.random() < HANG_PROBABILITY:
+                self.hang(self._rng.choice(machines), hang_length)
+            delay = seconds(self._rng.uniform(0, CANCELLATION_SPREAD_S))
             self._clock.later(delay, self._cancel, job)
--- a/tests/simulation/invalid_requests.py
+++ b/tests/simulation/invalid_requests.py
@@ -1,4 +1,4 @@
-"""Users who send what cannot be served: invalid submissions, repeats, cancellations of what is done."""
+"""Users who send invalid submissions, repeated submissions and cancellations of jobs that are done."""
 
 from collections import Counter
 from datetime import timedelta
@@ -12,13 +12,13 @@
 from tests.simulation.job_records import JobRecords
 from tests.simulation.users import BAD_REQUEST, UNPROCESSABLE, SimulatedUsers
 
-# More than any machine type has.
+# More CPUs than any machine type has and any team may use.
 IMPOSSIBLE_CPUS = 1e6
 POLL_DELAY = seconds(1)
 
 
 class InvalidRequests:
-    """Sends submissions that must be refused, and requests that must change nothing."""
+    """Sends submissions that must be rejected, and requests that must have no effect."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._jobs, self._users, self._violations = jobs, users, violations
 
     def send_for(self, length: timedelta) -> None:
-        """Users repeat what is under way, cancel what is done, and send what can never run."""
+        """Repeats submissions of open jobs, cancels done jobs and sends invalid submissions for a while."""
         self._window.extend(length)
         end = self._clock.now() + length
 
@@ -48,9 +48,9 @@
         send_next()
 
     def _send_one(self) -> None:
-        known, states = sorted(self._jobs.accepted), self._jobs.observed_states
-        open_jobs = [job for job in known if states.get(job) not in OVER]
-        done = [job for job in known if states.get(job) == "done"]
+        accepted, states = sorted(self._jobs.accepted), self._jobs.observed_states
+        open_jobs = [job for job in accepted if states.get(job) not in OVER]
+        done = [job for job in accepted if states.get(job) == "done"]
         kind = self._rng.choice(["repeat", "cancel", "invalid", "invalid"])
         if kind == "repeat" and open_jobs:
             self._users.send_submission(self._rng.choice(open_jobs))
@@ -60,11 +60,11 @@
             self.submit()
 
     def submit(self) -> None:
-        """A job that lacks a field or fits nothing; it may never be accepted, and stays unknown."""
+        """Submits an invalid job. It must be rejected with the right status, and polls must not find it."""
         job_id = f"job-9{len(self._jobs.invalid):05d}"
         fault, body = self._invalid_description(job_id)
         self._jobs.invalid[job_id] = fault
-        expected = BAD_REQUEST if fault in ("lacks", "not JSON") else UNPROCESSABLE
+        expected = BAD_REQUEST if fault in ("missing field", "not JSON") else UNPROCESSABLE
 
         def on_answer(status: int, body: bytes) -> None:
             self._counts[f"odd {status}"] += 1
@@ -75,17 +75,26 @@
         self._clock.later(POLL_DELAY, self._users.poll, job_id)
 
     def _invalid_description(self, job_id: str) -> tuple[str, bytes]:
-        """What is wrong with the description, and its bytes."""
+        """Returns what is wrong with the description, and the bytes of the description."""
         job = description(job_id, {})
-        fault = self._rng.choice(["lacks", "too large", "no team", "no type", "not JSON", "beyond its limit"])
-        if fault == "lacks":
+        fault = self._rng.choice(
+            [
+                "missing field",
+                "too large for a machine",
+                "unknown team",
+                "unknown machine type",
+                "not JSON",
+                "over the team limit",
+            ]
+        )
+        if fault == "missing field":
             del job[self._rng.choice(["crew", "threads", "vcpus", "pattern", "reckon_s", "scatter"])]
-        elif fault == "too large":
+        elif fault == "too large for a machine":
             job["vcpus"] = self._config.machine_cpus + 1
-        elif fault == "beyond its limit":
+        elif fault == "over the team limit":
             job["vcpus"] = IMPOSSIBLE_CPUS
-        elif fault == "no team":
+        elif fault == "unknown team":
             job["crew"] = "nobody"
-        elif fault == "no type":
+        elif fault == "unknown machine type":
             job["frames"] = ["none such"]
         return fault, encode(job) if fault != "not JSON" else b"{" + encode(job)
--- a/tests/simulation/job_records.py
+++ b/tests/simulation/job_records.py
@@ -1,4 +1,4 @@
-"""What users submitted, asked for and were told."""
+"""Records of the jobs that users submitted, cancelled and polled, and of the answers that they got."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -8,33 +8,33 @@
 
 @dataclass
 class JobRecords:
-    """By a job's id: its description, and what its user did and observed."""
+    """The description of each job by its id, and what users requested and observed of it."""
 
     descriptions: dict[str, dict[str, Any]] = field(default_factory=dict)
     submitted_at: dict[str, timedelta] = field(default_factory=dict)
-    # Jobs of which some answer said that they exist.
+    # Jobs that some answer reported as existing.
     accepted: set[str] = field(default_factory=set)
-    # Jobs that some user asked to cancel, and when users were first told that they are.
+    # Jobs that a user asked to cancel, and when a user was first told that the job is cancelled.
     cancel_requested: set[str] = field(default_factory=set)
     cancelled_at: dict[str, timedelta] = field(default_factory=dict)
-    # The last state that a user was told, and the most tasks that one was told are done.
+    # The last state and the highest number of done tasks that a user was told.
     observed_states: dict[str, str] = field(default_factory=dict)
     observed_done_counts: dict[str, int] = field(default_factory=dict)
-    # When each job was last asked for, and when that was last answered.
+    # When each job was last polled, and when a poll was last answered.
     polled_at: dict[str, timedelta] = field(default_factory=dict)
     answered_at: dict[str, timedelta] = field(default_factory=dict)
-    # Submissions that can never run, by their ids: what is wrong with them.
+    # What is wrong with each invalid submission, by its job id.
     invalid: dict[str, str] = field(default_factory=dict)
 
     def description_of_task(self, task: str) -> dict[str, Any]:
-        """The description of the job that the task belongs to."""
+        """Returns the description of the job that the task belongs to."""
         return self.descriptions[job_of(task)]
 
     def tasks(self, job_id: str) -> Iterator[str]:
-        """The names of the job's tasks."""
+        """Iterates over the names of the job's tasks."""
         return (f"{job_id}/{index}" for index in range(self.descriptions[job_id]["threads"]))
 
 
 def job_of(task: str) -> str:
-    """The job that the task belongs to."""
+    """Returns the id of the job that the task belongs to."""
     return task.rpartition("/")[0]
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -14,10 +14,11 @@
 from tests.simulation.job_records import JobRecords
 from tests.simulation.network import HEARTBEAT_PATH, SimulatedNetwork
 
-# How long a worker waits for the answer to a heartbeat, and until it learns that nobody listens.
+# How long a worker waits for the answer to a heartbeat, and how long a refused connection takes to fail.
 HEARTBEAT_TIMEOUT = seconds(4)
 REFUSAL_DELAY = seconds(0.001)
-# A task takes between these shares of the time that its job says, unless the job says it of each task.
+# The shortest and the longest run time of a task as shares of its job's `run_s`, unless that is a list with
+# the run time of each task.
 RUN_TIME_SPREAD = (0.5, 1.5)
 
 
@@ -36,13 +37,13 @@
         jobs: JobRecords,
         executions: TaskExecutions,
     ) -> None:
-        """`error` is the share of the tasks that fail."""
+        """`error` is the share of task attempts that fail."""
         self._clock, self._rng, self._config, self._error = clock, rng, config, error
         self._endpoints, self._network, self._connections = endpoints, network, connections
         self._jobs, self._executions = jobs, executions
 
     def start_worker(self, machine: Machine) -> None:
-        """The machine has booted."""
+        """Starts a worker on a machine that has booted."""
 
         def send(controller: str, body: bytes, on_reply: Callable[[Reply | None], None]) -> None:
             self._send_heartbeat(machine, controller, body, on_reply)
@@ -64,7 +65,7 @@
         )
 
     def stop_worker(self, name: str) -> None:
-        """The machine is terminated."""
+        """Stops the worker of a terminated machine, if one was started."""
         if name in self._endpoints.workers:
             self._endpoints.workers[name].terminate()
 
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -1,4 +1,4 @@
-"""The network of a simulated deployment: it delivers requests and answers, loses, delays and repeats them."""
+"""The network of a simulated deployment: delivers, loses, delays and repeats requests and answers."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable
@@ -21,18 +21,18 @@
 HEARTBEAT_PATH = "/v1/report"
 TRANSACTION_PATH = "/txn"
 OK, TOO_MANY_REQUESTS, UNAVAILABLE = 200, 429, 503
-# Between the attempts of a transaction that the store could not carry out yet.
+# Between attempts to execute a transaction that the store has rejected with 429 or 503.
 RETRY_DELAY = seconds(0.3)
-# A late copy of a heartbeat comes within so many times the lease.
+# The maximum delay of a late copy of a heartbeat, in worker leases.
 MAX_LATE_LEASES = 2.5
 PEER_DELAY = seconds(0.002)
-HEALED_DELAY = seconds(0.001)
+QUEUED_DELIVERY_DELAY = seconds(0.001)
 
 OnReply = Callable[[Reply], None]
 
 
 class SimulatedNetwork:
-    """Everything that is sent between controllers, machines, users, the store and the cloud."""
+    """Carries all messages between controllers, machines, users, the store and the cloud."""
 
     def __init__(
         self,
@@ -46,71 +46,77 @@
     ) -> None:
         self._clock, self._rng, self._config = clock, rng, config
         self._endpoints, self._rates, self._window, self._counts = endpoints, rates, window, counts
-        # Cut pairs, and the packets held back between them (None: thrown away).
+        # Pairs of endpoints that are cut off from each other, with the messages queued between them until
+        # the cut ends, or None if messages are dropped.
         self.cuts: dict[frozenset[str], list[Callable[[], None]] | None] = {}
         # Controllers that the store answers with 503.
         self.refused_by_store: set[str] = set()
-        # Controllers that accept connections and say nothing; and when which peer sent one of them what.
+        # Controllers that accept connections but neither send nor receive messages, and the times at which
+        # each peer sent each type of message to one of them.
         self.silent: set[str] = set()
         self.sent_to_silent: defaultdict[tuple[str, type], list[timedelta]] = defaultdict(list)
-        # The dialled ends of connections between controllers, in the order in which they were made.
+        # The initiators' ends of the open connections between controllers, in the order of their creation.
+        # The values are unused.
         self.peer_connections: dict[Any, None] = {}
-        # Machines whose heartbeats arrive, but which no answer and no command reaches.
+        # Machines whose heartbeats arrive, while all answers and commands to them are dropped.
         self.unreachable: set[str] = set()
-        # Machines that reach no controller, while direct commands reach them.
+        # Machines whose heartbeats are dropped, while direct commands reach them.
         self.cannot_report: set[str] = set()
-        # Copies of heartbeats that wait for a new leader.
-        self._kept: list[tuple[str, str, str, bytes]] = []
+        # Copies of heartbeats that are delivered when a new leader is elected: sender, method, path and body.
+        self._kept_heartbeats: list[tuple[str, str, str, bytes]] = []
 
     # Cuts.
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Whether nothing passes between the two."""
+        """Whether the two endpoints are cut off from each other."""
         return frozenset((one, other)) in self.cuts
 
-    def cut(self, one: str, others: list[str], hold: bool, length: timedelta) -> None:
-        """Cuts one off from others. With `hold` what is sent meanwhile arrives at the end, else never."""
-        pairs = [frozenset((one, other)) for other in others if other != one]
+    def cut(self, name: str, others: list[str], queue_messages: bool, length: timedelta) -> None:
+        """Cuts an endpoint off from others for a while.
+
+        With `queue_messages`, messages sent meanwhile are delivered when the cut ends, otherwise dropped.
+        """
+        pairs = [frozenset((name, other)) for other in others if other != name]
         self._window.extend(length)
         for pair in pairs:
-            self.cuts.setdefault(pair, [] if hold else None)
-        self._clock.later(length, self._heal, pairs)
+            self.cuts.setdefault(pair, [] if queue_messages else None)
+        self._clock.later(length, self._end_cut, pairs)
 
-    def cut_off(self, name: str, hold: bool, length: timedelta) -> None:
-        """Cuts a controller off from all there is."""
+    def cut_off(self, name: str, queue_messages: bool, length: timedelta) -> None:
+        """Cuts a controller off from all other endpoints."""
         machines = [machine.address for machine in self._endpoints.machines()]
         others = [*machines, *self._endpoints.controller_names, STATE, CLOUD, USER]
-        self.cut(name, others, hold, length)
+        self.cut(name, others, queue_messages, length)
 
-    def cut_zone(self, zone: str, hold: bool, length: timedelta) -> None:
-        """A zone with its workers and controllers is cut off; inside it all goes on."""
-        zones = {name: one._platform.zone for name, one in self._endpoints.controllers.items()}
-        inside = [name for name, at in zones.items() if at == zone]
+    def cut_zone(self, zone: str, queue_messages: bool, length: timedelta) -> None:
+        """Cuts a zone's workers and controllers off from all endpoints outside the zone."""
+        zones = {name: controller._platform.zone for name, controller in self._endpoints.controllers.items()}
+        inside = [name for name, own_zone in zones.items() if own_zone == zone]
         outside = [name for name in self._endpoints.controller_names if name not in inside]
-        near = [machine.address for machine in self._endpoints.machines() if machine.zone == zone]
-        far = [machine.address for machine in self._endpoints.machines() if machine.zone != zone]
+        inside_machines = [machine.address for machine in self._endpoints.machines() if machine.zone == zone]
+        outside_machines = [machine.address for machine in self._endpoints.machines() if machine.zone != zone]
         for name in inside:
-            self.cut(name, [*far, *outside, STATE, CLOUD, USER], hold, length)
+            self.cut(name, [*outside_machines, *outside, STATE, CLOUD, USER], queue_messages, length)
         for name in outside:
-            self.cut(name, near, hold, length)
+            self.cut(name, inside_machines, queue_messages, length)
 
-    def _heal(self, pairs: list[frozenset[str]]) -> None:
+    def _end_cut(self, pairs: list[frozenset[str]]) -> None:
         for pair in pairs:
             for send in self.cuts.pop(pair, None) or []:
-                self._clock.later(HEALED_DELAY, send)
+                self._clock.later(QUEUED_DELIVERY_DELAY, send)
 
     # Requests and answers.
 
     def refuses(self, target: str) -> bool:
-        """Whether the target is a controller that does not run, so that no connection to it is made."""
+        """Whether connections to the target are refused because it is a controller that does not run."""
         return target in self._endpoints.controller_names and target not in self._endpoints.controllers
 
     def carry(self, source: str, target: str, method: str, path: str, body: bytes, on_reply: OnReply) -> None:
-        """Brings a request to its target and the answer back, if the network lets them through."""
-        is_unanswered = target == STATE and path == TRANSACTION_PATH and self._loses_answer(body)
+        """Delivers a request to its target and the answer to `on_reply`, unless a fault loses either."""
+        loses_answer = target == STATE and path == TRANSACTION_PATH and self._loses_answer(body)
 
         def arrive() -> None:
-            if is_unanswered:
+            if loses_answer:
                 return
             answer = self.serve(source, target, method, path, body)
             if isinstance(answer, Deferred):
@@ -121,11 +127,11 @@
         if path == HEARTBEAT_PATH and source in self.cannot_report:
             return
         self._deliver(source, target, arrive)
-        self._plan_copies(source, target, method, path, body)
+        self._schedule_copies(source, target, method, path, body)
 
     def _send_back(self, answer: Reply, source: str, target: str, on_reply: OnReply) -> None:
         if target == STATE and source in self.refused_by_store and answer[0] == OK:
-            # The watches that a refused controller has open wait as in an outage.
+            # Open watches of a refused controller get no answer, as in an outage.
             return
         if target == STATE and self._rates.slow_store:
             delay = self._rates.slow_store * self._rng.random()
@@ -138,9 +144,9 @@
             return
         pair = frozenset((source, target))
         if pair in self.cuts:
-            held = self.cuts[pair]
-            if held is not None:
-                held.append(arrive)
+            queue = self.cuts[pair]
+            if queue is not None:
+                queue.append(arrive)
             return
         if self._rng.random() < self._rates.lost_messages:
             return
@@ -149,7 +155,7 @@
         self._clock.later(seconds(delay), arrive)
 
     def serve(self, source: str, target: str, method: str, path: str, body: bytes) -> Reply | Deferred | None:
-        """What the target answers to a request that has arrived; None: nobody is there."""
+        """Returns the target's answer to a request that has arrived, or None if its worker does not run."""
         if target == STATE:
             refused = source in self.refused_by_store
             return (UNAVAILABLE, b"") if refused else self._endpoints.state.handle(method, path, body)
@@ -172,15 +178,15 @@
         run_in_background(handle(), "serving")
         return answered
 
-    # Transactions without an answer.
+    # Transactions that get no answer.
 
     def _loses_answer(self, body: bytes) -> bool:
-        """Whether a transaction gets no answer. It is carried out all the same, late or at once."""
+        """Decides whether a transaction loses its answer; if so, it is still executed, at once or late."""
         rates = self._rates
-        which = self._rng.random() if rates.late_writes or rates.lost_answers else 1.0
-        if which < rates.late_writes:
+        draw = self._rng.random() if rates.late_writes or rates.lost_answers else 1.0
+        if draw < rates.late_writes:
             self._clock.later(seconds(self._rng.uniform(2, 12)), self._carry_out, body)
-        elif which < rates.late_writes + rates.lost_answers:
+        elif draw < rates.late_writes + rates.lost_answers:
             self._clock.later(seconds(self._rng.uniform(0.001, 0.01)), self._carry_out, body)
         else:
             return False
@@ -191,20 +197,20 @@
         answer = self._endpoints.state.handle("POST", TRANSACTION_PATH, body)
         assert isinstance(answer, tuple)
         if answer[0] in (TOO_MANY_REQUESTS, UNAVAILABLE):
-            # The service holds it back as well.
+            # The store is unavailable or over its rate limit, so the transaction is repeated later.
             self._clock.later(RETRY_DELAY, self._carry_out, body)
             return
         self._counts["astray carried out" if answer[0] == OK else "astray refused"] += 1
 
-    # Copies.
+    # Repeated messages.
 
-    def _plan_copies(self, source: str, target: str, method: str, path: str, body: bytes) -> None:
+    def _schedule_copies(self, source: str, target: str, method: str, path: str, body: bytes) -> None:
         rates, names = self._rates, self._endpoints.controller_names
         if path == HEARTBEAT_PATH and self._rng.random() < rates.kept_heartbeats:
-            self._kept.append((source, method, path, body))
+            self._kept_heartbeats.append((source, method, path, body))
         if path == HEARTBEAT_PATH and self._rng.random() < rates.late_heartbeats:
-            longest = MAX_LATE_LEASES * self._config.lease.total_seconds()
-            delay = seconds(self._rng.uniform(1, longest))
+            max_delay_s = MAX_LATE_LEASES * self._config.lease.total_seconds()
+            delay = seconds(self._rng.uniform(1, max_delay_s))
             other = self._rng.choice(names)
             self._clock.later(delay, self._deliver_copy, source, other, method, path, body)
         elif source in names and method == "POST" and self._rng.random() < rates.repeated_requests:
@@ -212,29 +218,29 @@
             self._clock.later(delay, self._deliver_copy, source, target, method, path, body)
 
     def deliver_kept(self) -> None:
-        """A new leader leads: the heartbeats that were kept for it come, to every controller."""
-        kept, self._kept = self._kept, []
+        """Delivers the kept heartbeats to every running controller; called when a new leader is elected."""
+        kept, self._kept_heartbeats = self._kept_heartbeats, []
         for source, method, path, body in kept:
             self._counts["kept delivered"] += 1
             for name in list(self._endpoints.controllers):
                 self._deliver_copy(source, name, method, path, body)
 
     def _deliver_copy(self, source: str, target: str, method: str, path: str, body: bytes) -> None:
-        """A message that has been carried before comes again; whoever sent it waits for no answer."""
+        """Delivers a copy of an earlier request, unless it is cut off; the answer is discarded."""
         if not self.is_cut(source, target) and target not in self.unreachable:
             self.serve(source, target, method, path, body)
 
-    # Between controllers.
+    # Messages between controllers.
 
     def as_received(self, message: Message, receiver: str) -> Message:
-        """A message between peers as the one that it goes to reads it."""
+        """Returns a message between peers as decoded by the receiver's version."""
         version = self._endpoints.versions.get(receiver, CURRENT)
         return version.read_message(msgspec.msgpack.encode(message))
 
     def pass_to_peer(self, source: str, target: str, arrive: Callable[[], None]) -> None:
-        """Nothing is lost between peers but by a cut; each connection's messages keep their order."""
+        """Delivers a message between controllers; only cuts lose such messages, and they keep their order."""
         pair = frozenset((source, target))
         if pair not in self.cuts:
             self._clock.later(PEER_DELAY, arrive)
-        elif (held := self.cuts[pair]) is not None:
-            held.append(arrive)
+        elif (queue := self.cuts[pair]) is not None:
+            queue.append(arrive)
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -1,4 +1,4 @@
-"""The users of a simulated deployment: they submit, cancel and poll jobs, and note what they were told."""
+"""The users of a simulated deployment: they submit, cancel and poll jobs, and record the answers."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,27 +17,29 @@
 from tests.simulation.network import SimulatedNetwork
 
 OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE = 200, 201, 400, 404, 422
-DEFINITE = (OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE)
-# How often a request is sent again, how long a user waits for its answer, and between two attempts.
+FINAL_STATUSES = (OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE)
+# How often a request is repeated, how long a user waits for its answer, and the delay before a repetition.
 MAX_RETRIES = 40
 ANSWER_TIMEOUT = seconds(2)
 RETRY_DELAY = seconds(1)
+# How long a refused connection takes to fail.
 REFUSAL_DELAY = seconds(0.001)
 POLL_INTERVAL = timedelta(seconds=1.3)
-# When a user cancels who does so at a job's end: at once, or while the end is on the way to the controllers.
+# Delays of a cancellation after the end of the job's last task: at once, or while the worker's heartbeat that
+# reports the end is still on its way to the controllers.
 CANCEL_AT_END_DELAYS_S = (0.0, 0.05, 0.3, 0.6)
-# Users who ask everywhere do so so many times, so far apart, within this time at all controllers; most poll
-# the job, the others repeat its submission.
-POLLS_EVERYWHERE = 4
-POLLS_EVERYWHERE_APART_S = (0.002, 0.02, 0.3)
-POLLS_EVERYWHERE_WITHIN_S = 0.004
+# For `poll_everywhere`: the number of rounds, the intervals between rounds, the time within which each round
+# reaches all controllers, and the share of requests that poll the job instead of repeating its submission.
+POLL_EVERYWHERE_ROUNDS = 4
+POLL_EVERYWHERE_INTERVALS_S = (0.002, 0.02, 0.3)
+POLL_EVERYWHERE_SPREAD_S = 0.004
 POLL_PROBABILITY = 0.7
 
 OnAnswer = Callable[[int, bytes], None]
 
 
 class SimulatedUsers:
-    """Sends the requests of users, over and over until they are answered, and has each answer checked."""
+    """Sends the requests of users, repeats them until they are answered, and checks each answer."""
 
     def __init__(
         self,
@@ -53,7 +55,7 @@
         self._clock, self._rng, self._rates, self._counts = clock, rng, rates, counts
         self._endpoints, self._network = endpoints, network
         self._jobs, self._answers = jobs, answers
-        # Called with each job when its user first observes that it is accepted, and when it is over.
+        # Called with the job id when a user first observes that the job is accepted, and that it is over.
         self.accepted_callbacks: list[Callable[[str], None]] = []
         self.over_callbacks: list[Callable[[str], None]] = []
 
@@ -66,58 +68,61 @@
         retries: int = MAX_RETRIES,
         controller: str | None = None,
     ) -> None:
-        """Sends a request, at first to the given controller, until it gets a definite answer."""
+        """Sends a request, and repeats it up to `retries` times until it gets a final answer.
+
+        The first attempt goes to the given controller, all others to random ones.
+        """
         target = controller or self._rng.choice(self._endpoints.controller_names)
-        settled = False
+        is_finished = False
 
-        def settle(answer: Reply | None) -> None:
-            nonlocal settled
-            if settled:
+        def finish(answer: Reply | None) -> None:
+            nonlocal is_finished
+            if is_finished:
                 return
-            settled = True
-            if answer is not None and answer[0] in DEFINITE:
+            is_finished = True
+            if answer is not None and answer[0] in FINAL_STATUSES:
                 on_answer(*answer)
             elif retries:
                 self._clock.later(RETRY_DELAY, self.request, method, path, body, on_answer, retries - 1)
 
         if self._network.refuses(target):
-            self._clock.later(REFUSAL_DELAY, settle, None)
+            self._clock.later(REFUSAL_DELAY, finish, None)
             return
-        self._network.carry(USER, target, method, path, body, settle)
-        self._clock.later(ANSWER_TIMEOUT, settle, None)
+        self._network.carry(USER, target, method, path, body, finish)
+        self._clock.later(ANSWER_TIMEOUT, finish, None)
 
-    def submit(self, number: int, **fields: Any) -> str:
-        """Submits a new job, whose description differs from the usual one in these fields."""
-        job_id = f"job-{number:06d}"
+    def submit(self, job_number: int, **fields: Any) -> str:
+        """Submits a new job; `fields` replace fields of the default description."""
+        job_id = f"job-{job_number:06d}"
         self._jobs.descriptions[job_id] = description(job_id, fields)
         self._jobs.submitted_at[job_id] = self._clock.now()
         self.send_submission(job_id)
         return job_id
 
-    def submit_and_poll(self, number: int, **fields: Any) -> str:
-        """The same, and polls until the job is over."""
-        job_id = self.submit(number, **fields)
+    def submit_and_poll(self, job_number: int, **fields: Any) -> str:
+        """Submits a new job like `submit`, and polls it until it is over."""
+        job_id = self.submit(job_number, **fields)
         self.poll_until_over(job_id)
         return job_id
 
     def send_submission(self, job_id: str, retries: int = MAX_RETRIES, controller: str | None = None) -> None:
-        """Sends a submission, for the first time or once more."""
+        """Sends the job's submission for the first time, or repeats it."""
         before = self._jobs.observed_states.get(job_id)
 
         def on_answer(status: int, body: bytes) -> None:
             self._counts[f"submission {status}"] += 1
             if status in (BAD_REQUEST, NOT_FOUND, UNPROCESSABLE):
-                self._answers.violated(f"forgotten {job_id}: {status}")
+                self._answers.add_violation(f"forgotten {job_id}: its submission got status {status}")
                 return
             if status == CREATED and before is not None:
-                self._answers.violated(f"went_back {job_id} accepted anew after {before}")
+                self._answers.add_violation(f"went_back {job_id} accepted again after state {before}")
             self._observe_state(job_id, decode(body)["stage"], before)
 
         body = encode(self._jobs.descriptions[job_id])
         self.request("POST", "/submissions", body, on_answer, retries, controller)
 
     def cancel(self, job_id: str, retries: int = MAX_RETRIES, controller: str | None = None) -> None:
-        """Asks to cancel the job."""
+        """Requests the cancellation of the job."""
         self._jobs.cancel_requested.add(job_id)
         before = self._jobs.observed_states.get(job_id)
 
@@ -125,11 +130,11 @@
             if status == OK:
                 self._on_cancelled(job_id, decode(body)["stage"], before)
             elif status != NOT_FOUND:
-                self._answers.violated(f"abort {job_id} answered {status}")
+                self._answers.add_violation(f"abort {job_id} answered status {status}")
             elif before is not None:
-                self._answers.violated(f"forgotten {job_id}")
+                self._answers.add_violation(f"forgotten {job_id}")
             elif retries:
-                # Its submission is still on the way.
+                # The job's submission has not been accepted yet.
                 self._clock.later(RETRY_DELAY, self.cancel, job_id, retries - 1)
 
         self.request("POST", f"/submissions/{job_id}/abort", b"", on_answer, retries, controller)
@@ -138,19 +143,19 @@
         if state == "aborted":
             self._jobs.cancelled_at.setdefault(job_id, self._clock.now())
         elif state != "done":
-            self._answers.violated(f"abort {job_id} answered {state}")
+            self._answers.add_violation(f"abort {job_id} answered state {state}")
         self._observe_state(job_id, state, before)
 
     def cancel_at_end(self, job_id: str) -> None:
-        """The job's last task has ended; some users cancel it at that moment."""
+        """Cancels the job with the probability `cancel_at_end`; called when its last task has ended."""
         if self._rng.random() < self._rates.cancel_at_end:
             self._counts["cancelled at its end"] += 1
             delay = seconds(self._rng.choice(CANCEL_AT_END_DELAYS_S))
             self._clock.later(delay, self.cancel, job_id)
 
     def poll(self, job_id: str, controller: str | None = None) -> None:
-        """Asks once for the job."""
-        # What an answer must not be older than: what was told before the question.
+        """Polls the job once."""
+        # The answer may not be older than what a user had been told when the poll was sent.
         before = self._jobs.observed_states.get(job_id)
         done_before = self._jobs.observed_done_counts.get(job_id, 0)
         self._jobs.polled_at[job_id] = self._clock.now()
@@ -159,9 +164,9 @@
             self._jobs.answered_at[job_id] = self._clock.now()
             if status == NOT_FOUND:
                 if before is not None:
-                    self._answers.violated(f"forgotten {job_id}")
+                    self._answers.add_violation(f"forgotten {job_id}")
             elif job_id not in self._jobs.descriptions:
-                self._answers.violated(f"invented {job_id}")
+                self._answers.add_violation(f"invented {job_id}")
             else:
                 answer = decode(body)
                 self._observe_state(job_id, answer["stage"], before)
@@ -170,7 +175,7 @@
         self.request("GET", f"/submissions/{job_id}", b"", on_answer, 0, controller)
 
     def poll_until_over(self, job_id: str, interval: timedelta = POLL_INTERVAL) -> None:
-        """Polls until the job is over, like its user."""
+        """Polls the job at the given interval until it is over."""
         if self._jobs.observed_states.get(job_id) not in OVER:
             self.poll(job_id)
             self._clock.later(interval, self.poll_until_over, job_id, interval)
@@ -185,18 +190,18 @@
         self._jobs.observed_states[job_id] = state
         accepted = self.accepted_callbacks if is_new else ()
         over = self.over_callbacks if state in OVER else ()
-        for call in (*accepted, *over):
-            call(job_id)
+        for callback in (*accepted, *over):
+            callback(job_id)
         if self._rates.poll_everywhere and (known is None or state in OVER):
             self._poll_everywhere(job_id)
 
     def _poll_everywhere(self, job_id: str) -> None:
-        """Users ask at all controllers within milliseconds, again and again, and repeat the submission."""
+        """Polls the job, or repeats its submission, at all controllers in rounds of a few milliseconds."""
         self._counts["close looks"] += 1
-        for time in range(POLLS_EVERYWHERE):
+        for round_number in range(POLL_EVERYWHERE_ROUNDS):
             for name in self._endpoints.controller_names:
-                spread_s = self._rng.uniform(0, POLLS_EVERYWHERE_WITHIN_S)
-                delay = seconds(spread_s + time * self._rng.choice(POLLS_EVERYWHERE_APART_S))
+                spread_s = self._rng.uniform(0, POLL_EVERYWHERE_SPREAD_S)
+                delay = seconds(spread_s + round_number * self._rng.choice(POLL_EVERYWHERE_INTERVALS_S))
                 if self._rng.random() < POLL_PROBABILITY:
                     self._clock.later(delay, self.poll, job_id, name)
                 else:
