--- a/tests/pipelines.py
+++ b/tests/pipelines.py
@@ -1,4 +1,4 @@
-"""Generated pipelines of jobs that need each other, submitted as their users do: one job after another."""
+"""Generated pipelines of dependent jobs, submitted like users do: each job after its dependencies."""
 
 import random
 from dataclasses import dataclass
@@ -9,49 +9,54 @@
 from tests.invariants.dependency_invariants import OVER
 from tests.simulated_deployment import SimulatedDeployment
 
-# By then all that waits is served once the last fault is over.
-SETTLED_WITHIN = seconds(90)
+# The time after the last fault within which all jobs must be over.
+SETTLE_TIMEOUT = seconds(90)
 
 
 @dataclass(frozen=True)
-class Stage:
-    """One job of a pipeline, by the places in it of the jobs that it needs."""
+class PipelineNode:
+    """One job of a pipeline. `dependencies` are indices of other jobs of the pipeline."""
 
-    needs: tuple[int, ...] = ()
-    # Submitted only when all that it needs is over, not as soon as it is accepted.
+    dependencies: tuple[int, ...] = ()
+    # Whether the job is submitted only once its dependencies are over, not as soon as they are accepted.
     late: bool = False
 
 
-Shape = tuple[Stage, ...]
+Shape = tuple[PipelineNode, ...]
 
 
 def chain(length: int, late: bool = False) -> Shape:
-    stages = [Stage(() if at == 0 else (at - 1,)) for at in range(length)]
-    stages[-1] = Stage(stages[-1].needs, late)
-    return tuple(stages)
+    """Each job depends on the one before. `late` applies to the last job."""
+    nodes = [PipelineNode(() if index == 0 else (index - 1,)) for index in range(length)]
+    nodes[-1] = PipelineNode(nodes[-1].dependencies, late)
+    return tuple(nodes)
 
 
 def diamond(late: bool = False) -> Shape:
-    return (Stage(), Stage((0,)), Stage((0,)), Stage((1, 2), late))
+    """Two jobs depend on the first, and the last depends on both. `late` applies to the last job."""
+    return (PipelineNode(), PipelineNode((0,)), PipelineNode((0,)), PipelineNode((1, 2), late))
 
 
 def fan_out(width: int) -> Shape:
-    return (Stage(), *(Stage((0,)) for _ in range(width)))
+    """All other jobs depend on the first."""
+    return (PipelineNode(), *(PipelineNode((0,)) for _ in range(width)))
 
 
 def fan_in(width: int, late: bool = False) -> Shape:
-    return (*(Stage() for _ in range(width)), Stage(tuple(range(width)), late))
+    """The last job depends on all others. `late` applies to the last job."""
+    return (*(PipelineNode() for _ in range(width)), PipelineNode(tuple(range(width)), late))
 
 
 def random_graph(rng: random.Random, size: int) -> Shape:
-    stages = []
-    for at in range(size):
-        needs = tuple(sorted(rng.sample(range(at), rng.randint(0, min(at, 3)))))
-        stages.append(Stage(needs, late=bool(needs) and rng.random() < 0.15))
-    return tuple(stages)
+    """Each job depends on up to three random earlier jobs."""
+    nodes = []
+    for index in range(size):
+        dependencies = tuple(sorted(rng.sample(range(index), rng.randint(0, min(index, 3)))))
+        nodes.append(PipelineNode(dependencies, late=bool(dependencies) and rng.random() < 0.15))
+    return tuple(nodes)
 
 
-def any_shape(rng: random.Random) -> Shape:
+def random_shape(rng: random.Random) -> Shape:
     late = rng.random() < 0.3
     return rng.choice(
         [
@@ -65,83 +70,88 @@
 
 
 class Pipeline:
-    """The jobs of one shape. Each is submitted at any controller once those that it needs are accepted, or
-    over."""
+    """The jobs of one shape. Each is submitted at any controller once its dependencies are accepted or, if it
+    is `late`, over."""
 
     def __init__(
-        self, deployment: SimulatedDeployment, first: int, shape: Shape, fields: list[dict[str, Any]]
+        self, deployment: SimulatedDeployment, first_number: int, shape: Shape, fields: list[dict[str, Any]]
     ) -> None:
-        self.deployment, self.first, self.shape, self.fields = deployment, first, shape, fields
-        self._sent: set[int] = set()
-        deployment.users.accepted_callbacks.append(lambda job: self._submit_what_can_be())
-        deployment.users.over_callbacks.append(lambda job: self._submit_what_can_be())
-        self._submit_what_can_be()
+        self.deployment, self.first_number, self.shape, self.fields = deployment, first_number, shape, fields
+        self._submitted: set[int] = set()
+        deployment.users.accepted_callbacks.append(lambda job: self._submit_ready_jobs())
+        deployment.users.over_callbacks.append(lambda job: self._submit_ready_jobs())
+        self._submit_ready_jobs()
 
-    def job(self, place: int) -> str:
-        return f"job-{self.first + place:06d}"
+    def job(self, index: int) -> str:
+        """The id of the job at this index."""
+        return f"job-{self.first_number + index:06d}"
 
     @property
     def jobs(self) -> list[str]:
-        """Those submitted so far."""
-        return [self.job(place) for place in sorted(self._sent)]
+        """The ids of the jobs submitted so far, in the order of their indices."""
+        return [self.job(index) for index in sorted(self._submitted)]
 
     @property
     def complete(self) -> bool:
-        """Whether all are submitted."""
-        return len(self._sent) == len(self.shape)
-
-    def _submit_what_can_be(self) -> None:
-        for place, stage in enumerate(self.shape):
-            if place not in self._sent and self._may_submit(stage):
-                self._submit(place, stage)
-
-    def _may_submit(self, stage: Stage) -> bool:
-        needed = [self.job(place) for place in stage.needs]
-        if stage.late:
-            return all(self.deployment.jobs.observed_states.get(job) in OVER for job in needed)
-        return all(job in self.deployment.jobs.accepted for job in needed)
-
-    def _submit(self, place: int, stage: Stage) -> None:
-        self._sent.add(place)
-        fields = dict(self.fields[place])
-        if stage.needs:
-            fields["awaits"] = [self.job(needed) for needed in stage.needs]
-        self.deployment.users.poll_until_over(self.deployment.users.submit(self.first + place, **fields))
+        """Whether all jobs are submitted."""
+        return len(self._submitted) == len(self.shape)
+
+    def _submit_ready_jobs(self) -> None:
+        for index, node in enumerate(self.shape):
+            if index not in self._submitted and self._is_ready(node):
+                self._submit(index, node)
+
+    def _is_ready(self, node: PipelineNode) -> bool:
+        dependencies = [self.job(index) for index in node.dependencies]
+        if node.late:
+            return all(self.deployment.jobs.observed_states.get(job) in OVER for job in dependencies)
+        return all(job in self.deployment.jobs.accepted for job in dependencies)
+
+    def _submit(self, index: int, node: PipelineNode) -> None:
+        self._submitted.add(index)
+        fields = dict(self.fields[index])
+        if node.dependencies:
+            fields["awaits"] = [self.job(dependency) for dependency in node.dependencies]
+        self.deployment.users.poll_until_over(
+            self.deployment.users.submit(self.first_number + index, **fields)
+        )
 
 
 class Pipelines:
-    """A stream of pipelines of all shapes, across the teams of a deployment."""
+    """Pipelines of all shapes, submitted to a deployment for all of its teams."""
 
-    def __init__(self, deployment: SimulatedDeployment, first: int = 1000) -> None:
+    def __init__(self, deployment: SimulatedDeployment, first_number: int = 1000) -> None:
         self.deployment = deployment
-        self.number = first
-        self.all: list[Pipeline] = []
+        self.next_number = first_number
+        self.pipelines: list[Pipeline] = []
 
     def begin(self, shape: Shape, **fields: Any) -> Pipeline:
-        """Submits a pipeline now; `fields` hold for each of its jobs."""
-        given = [self._any_job() | fields for _ in shape]
-        pipeline = Pipeline(self.deployment, self.number, shape, given)
-        self.number += len(shape)
-        self.all.append(pipeline)
+        """Starts submitting a pipeline now. `fields` apply to each of its jobs."""
+        given = [self._random_job() | fields for _ in shape]
+        pipeline = Pipeline(self.deployment, self.next_number, shape, given)
+        self.next_number += len(shape)
+        self.pipelines.append(pipeline)
         return pipeline
 
-    def stream(self, count: int, every: timedelta) -> None:
-        """Pipelines of any shape, one after another; the first begins at once."""
+    def stream(self, count: int, interval: timedelta) -> None:
+        """Schedules pipelines of random shapes at this interval. The first begins at once."""
         for number in range(count):
-            self.deployment.clock.later(every * number, lambda: self.begin(any_shape(self.deployment.rng)))
+            self.deployment.clock.later(
+                interval * number, lambda: self.begin(random_shape(self.deployment.rng))
+            )
 
-    def cancel_some(self, share: float, within: timedelta) -> None:
-        """Of that share of the jobs that are accepted from now on, the user cancels them within that time."""
+    def cancel_some(self, fraction: float, within: timedelta) -> None:
+        """Has users cancel this fraction of the jobs accepted from now on, each within this time."""
         rng = self.deployment.rng
 
-        def accepted(job: str) -> None:
-            if rng.random() < share:
+        def cancel_randomly(job: str) -> None:
+            if rng.random() < fraction:
                 self.deployment.counts["pipeline cancelled"] += 1
                 self.deployment.clock.later(within * rng.random(), self.deployment.users.cancel, job)
 
-        self.deployment.users.accepted_callbacks.append(accepted)
+        self.deployment.users.accepted_callbacks.append(cancel_randomly)
 
-    def _any_job(self) -> dict[str, Any]:
+    def _random_job(self) -> dict[str, Any]:
         rng = self.deployment.rng
         return {
             "crew": rng.choice([team["name"] for team in self.deployment.config.teams]),
@@ -153,14 +163,18 @@
             "due_s": rng.choice([None, 20.0, 60.0]),
         }
 
-    def settle(self, span: timedelta = SETTLED_WITHIN) -> None:
-        """Once all is well each pipeline is submitted in full, each job ends, and users hear so: a job
-        that nobody cancelled, nor any before it, is done, and what comes after an aborted one is aborted."""
+    def settle(self, timeout: timedelta = SETTLE_TIMEOUT) -> None:
+        """Runs until all pipelines are submitted and users were told that all jobs are over, and fails if
+        that takes more than `timeout` from now or from the end of the last fault.
+
+        A job must be done unless it or a job that it depends on was cancelled. Jobs that depend on an aborted
+        one must be aborted.
+        """
         deployment = self.deployment
-        end = max(deployment.clock.now(), deployment.fault_window.ends_at) + span
+        end = max(deployment.clock.now(), deployment.fault_window.ends_at) + timeout
         while not self._settled() and deployment.clock.now() < end:
             deployment.run(seconds(1))
-        assert all(pipeline.complete for pipeline in self.all), "some jobs were never submitted"
+        assert all(pipeline.complete for pipeline in self.pipelines), "some jobs were never submitted"
         open_jobs = {
             job: deployment.jobs.observed_states.get(job)
             for job in deployment.jobs.descriptions
@@ -179,6 +193,6 @@
             )
 
     def _settled(self) -> bool:
-        return all(pipeline.complete for pipeline in self.all) and all(
+        return all(pipeline.complete for pipeline in self.pipelines) and all(
             self.deployment.jobs.observed_states.get(job) in OVER for job in self.deployment.jobs.descriptions
         )
--- a/tests/workloads.py
+++ b/tests/workloads.py
@@ -1,18 +1,19 @@
-"""Work for simulated deployments: streams of jobs, jobs that run, and a day that is served in the end."""
+"""Workloads for simulated deployments, and checks of their outcome."""
 
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import seconds
 
-# Teams whose limits leave room for all that the tests submit.
+# Teams with limits high enough for all jobs that the tests submit.
 ROOMY = tuple({"name": name, "cpus": 40.0, "cpus_max": 80.0} for name in ("red", "blue"))
 
 
 def busy(deployment, jobs, every=0.5, cancelled=0.2, **fields):
-    """A stream of jobs, some cancelled while they wait, run or end; the first begins at once."""
+    """Schedules a stream of jobs, one every `every` seconds from now on. Users cancel the fraction
+    `cancelled` of them within 10 s: while they wait, run or end."""
     rng = deployment.rng
 
-    def one(number):
-        given = {
+    def submit(number):
+        defaults = {
             "crew": rng.choice([team["name"] for team in deployment.config.teams]),
             "urgency": rng.choice(["critical", "high", "normal", "best_effort"]),
             "threads": rng.choice([1, 2, 3]),
@@ -20,17 +21,17 @@
             "run_s": rng.uniform(0.3, 8),
             "knot_s": rng.choice([0.0, 2.0]),
         }
-        job = deployment.users.submit(number, **(given | fields))
+        job = deployment.users.submit(number, **(defaults | fields))
         deployment.users.poll_until_over(job)
         if rng.random() < cancelled:
             deployment.clock.later(seconds(rng.uniform(0, 10)), deployment.users.cancel, job)
 
     for number in range(jobs):
-        deployment.clock.later(seconds(number * every), one, 1000 + number)
+        deployment.clock.later(seconds(number * every), submit, 1000 + number)
 
 
 def running(deployment, count, **fields):
-    """Jobs of one task each that are all running now, in a deployment that is ready."""
+    """Submits jobs of one task each to a deployment that is ready. Returns them once all are running."""
     first = len(deployment.jobs.descriptions)
     jobs = [
         deployment.users.submit(first + n, **({"threads": 1, "run_s": 60.0} | fields)) for n in range(count)
@@ -43,9 +44,10 @@
     return jobs
 
 
-def settle(deployment, span=60.0):
-    """Once all is well every job ends, and users hear so."""
-    end = max(deployment.clock.now(), deployment.fault_window.ends_at) + seconds(span)
+def settle(deployment, timeout_s=60.0):
+    """Runs until users were told that all jobs are over, then checks the service invariants of the whole
+    run. Fails if not all are over within `timeout_s` seconds from now or, if later, the last fault's end."""
+    end = max(deployment.clock.now(), deployment.fault_window.ends_at) + seconds(timeout_s)
     open_jobs = set(deployment.jobs.descriptions)
     while open_jobs and deployment.clock.now() < end:
         deployment.run(seconds(1))
@@ -61,13 +63,13 @@
 
 
 def assert_none_began_twice(deployment, jobs):
-    """What ran went on: no lease was lost that somebody could renew."""
-    again = {
+    """Fails if a job's task started more than once, as when a lease was lost that could be renewed."""
+    restarted = {
         job: deployment.executions.start_counts[f"{job}/0"]
         for job in jobs
         if deployment.executions.start_counts[f"{job}/0"] > 1
     }
-    assert not again, again
+    assert not restarted, restarted
 
 
 def address(deployment, name):
@@ -75,14 +77,15 @@
 
 
 def stages_everywhere(deployment, job):
-    """What each controller answers for the job, asked straight."""
-    got = {}
+    """The distinct statuses and bodies that the running controllers answer for the job. The requests do not
+    use the simulated network."""
+    answers = {}
     for name in deployment.controllers:
 
-        async def ask(name=name):
-            got[name] = await deployment.controllers[name].handle("GET", f"/submissions/{job}", b"")
+        async def request(name=name):
+            answers[name] = await deployment.controllers[name].handle("GET", f"/submissions/{job}", b"")
 
-        run_in_background(ask(), "asking")
+        run_in_background(request(), "requesting")
     deployment.run(seconds(2))
-    assert len(got) == len(deployment.controllers)
-    return {(answer.status, answer.body) for answer in got.values()}
+    assert len(answers) == len(deployment.controllers)
+    return {(answer.status, answer.body) for answer in answers.values()}
