--- a/tests/cluster_harness.py
+++ b/tests/cluster_harness.py
@@ -1,4 +1,4 @@
-"""A cluster state for tests, with the shortest ways to feed it."""
+"""A cluster state for unit tests, and a harness that feeds it heartbeats, plans and commits."""
 
 from datetime import timedelta
 
@@ -19,7 +19,7 @@
 
 
 def spec(id="job-1", tasks=2, **fields):
-    given = {
+    values = {
         "id": id,
         "job_class": "c",
         "team": "t",
@@ -38,7 +38,7 @@
         "save_s": 0.0,
         "estimate_s": 9.0,
     } | fields
-    return Submission(**given)
+    return Submission(**values)
 
 
 def make_cluster():
@@ -54,7 +54,7 @@
 
 
 class Harness:
-    """A cluster with the shortest ways to feed it: job-1 has two tasks, and the machines one type."""
+    """A cluster with methods that feed it. job-1 has two tasks, and all machines are of type "m"."""
 
     def __init__(self):
         self.cluster = make_cluster()
@@ -65,7 +65,7 @@
     def send_heartbeat(
         self, *tasks, token=TOKEN, incarnation=1, renews_lease=True, machine="n-1", sequence=None
     ):
-        """A heartbeat that lists these tasks; returns the commands of its response."""
+        """Delivers a heartbeat that lists these tasks, and returns the commands of the response."""
         self.sequence += 1
         heartbeat = Heartbeat(
             machine,
@@ -84,7 +84,7 @@
         assert self.cluster.apply_plan(Plan(placements=[Placement("job-1", index, machine)]), self.now) == 1
 
     def commit_writes(self):
-        """Writes all that is pending, as the state writer would."""
+        """Commits all pending writes, as the state writer would."""
         for write in self.cluster.collect_writes(99, {}).ranges:
             self.cluster.on_range_committed(write.job, write.first_task, write.version)
 
@@ -101,7 +101,7 @@
         self.cluster.observe_job(JobRecord("aborted", spec(), 1), 50)
 
     def with_running_task(self):
-        """A harness with task 0 placed, recorded, started and shown running."""
+        """Has task 0 placed, committed, started and reported as running. Returns the harness."""
         self.send_heartbeat()
         self.place()
         self.commit_writes()
--- a/tests/deployment_config.py
+++ b/tests/deployment_config.py
@@ -1,4 +1,4 @@
-"""What a simulated deployment is like: settings, teams, machines, and jobs as users describe them."""
+"""Configuration of a simulated deployment: platform settings, teams, machine types and job descriptions."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -9,6 +9,7 @@
 from spindleglade.runtime.clock import seconds
 from spindleglade.settings import Platform
 
+# `cancel_s`: the time within which a confirmed cancellation stops all tasks of its job.
 CANCEL = seconds(20)
 TYPES = [
     {
@@ -32,43 +33,53 @@
 
 @dataclass(frozen=True)
 class DeploymentConfig:
-    """What a deployment is like."""
+    """The size, protocol times and limits of one deployment."""
 
     controllers: int = 3
-    # Machines that the cloud has.
+    # The most machines that the cloud provides at a time.
     capacity: int = 5
+    # The interval of heartbeats, and the length of a worker's lease.
     report: timedelta = seconds(1)
     lease: timedelta = seconds(6)
     teams: tuple[dict, ...] = tuple(TEAMS)
+    # Requests per second that the state service admits, how many of them may write, and requests per second
+    # that the cloud admits.
     rps: float = 300.0
     write_rps: float = 100.0
     cloud_rps: float = 5.0
+    # Connections that one controller may have open.
     sockets: int = 1024
-    # What a machine has.
+    # CPUs of each machine.
     machine_cpus: float = 8.0
-    # The state service's limits, and the lower ones that it may have from some moment on.
+    # The state service's limits on a value's size and a transaction's operations, and the lower limits that
+    # are announced to controllers; None if none are.
     value_kb: float = 16.0
     txn_ops: int = 12
     next_limits: dict[str, float] | None = None
 
     def limit(self, team: str) -> float:
-        """The CPUs that the team may use."""
+        """The CPUs that the team's tasks may use at a time."""
         return next(entry["cpus_max"] for entry in self.teams if entry["name"] == team)
 
 
-def _state_limits(at: DeploymentConfig) -> dict:
-    limits = {"rps": at.rps, "write_rps": at.write_rps, "value_kb": at.value_kb, "txn_ops": at.txn_ops}
-    return limits if at.next_limits is None else limits | {"next": at.next_limits}
+def _state_limits(config: DeploymentConfig) -> dict:
+    limits = {
+        "rps": config.rps,
+        "write_rps": config.write_rps,
+        "value_kb": config.value_kb,
+        "txn_ops": config.txn_ops,
+    }
+    return limits if config.next_limits is None else limits | {"next": config.next_limits}
 
 
-def platform(index: int, at: DeploymentConfig) -> Platform:
-    """The settings that the platform hands to one controller."""
-    return msgspec.convert(platform_settings(index, at), Platform)
+def platform(index: int, config: DeploymentConfig) -> Platform:
+    """The platform settings of one controller, decoded."""
+    return msgspec.convert(platform_settings(index, config), Platform)
 
 
-def platform_settings(index: int, at: DeploymentConfig) -> dict[str, Any]:
-    """The same as the platform writes them down."""
-    names = [f"node-{number}" for number in range(at.controllers)]
+def platform_settings(index: int, config: DeploymentConfig) -> dict[str, Any]:
+    """The platform settings of one controller, as in the platform's JSON file."""
+    names = [f"node-{number}" for number in range(config.controllers)]
     return {
         "node": names[index],
         "zone": "ab"[index % 2],
@@ -82,21 +93,22 @@
         "external": {"cloud": "10.2.0.2:1", "state": "10.2.0.1:1"},
         "params": {
             "zones": ["a", "b"],
-            "teams": list(at.teams),
+            "teams": list(config.teams),
             "workers": {
-                "report_s": at.report.total_seconds(),
-                "lease_s": at.lease.total_seconds(),
+                "report_s": config.report.total_seconds(),
+                "lease_s": config.lease.total_seconds(),
                 "cancel_s": CANCEL.total_seconds(),
             },
-            "state": _state_limits(at),
-            "cloud": {"rps": at.cloud_rps, "list_lag_s": 1.0},
-            "machine_limits": {"sockets": at.sockets},
+            "state": _state_limits(config),
+            "cloud": {"rps": config.cloud_rps, "list_lag_s": 1.0},
+            "machine_limits": {"sockets": config.sockets},
         },
     }
 
 
 def description(job_id: str, fields: dict) -> dict:
-    """A job as its user describes it; `run_s` is for the fakes alone."""
+    """The body of a submission, with `fields` in place of the defaults. Only the fakes read `run_s`, a task's
+    run time in seconds."""
     return {
         "ref": job_id,
         "bobbin": "c",
@@ -123,4 +135,5 @@
 
 
 def size(job: dict) -> float:
+    """The CPUs of all tasks of a job together."""
     return job["threads"] * job["vcpus"]
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""Support for KNOWN-RED.txt: tests that fail for a real fault which is not mended yet.
+"""Support for KNOWN-RED.txt: tests that fail because of a known fault that is not fixed yet.
 
-Each line of the file is `test | cause | issue`, where the test is a function's node id, such as
-`tests/test_x.py::test_y`, all of its cases included. A run passes over the failures of these tests alone and
-prints them. It fails if the file lists more than `MOST_LISTED` tests, a line that cannot be read, a test that
-does not exist, or a test that passes in all its cases: that one is to be taken off the list.
+Each line of the file is `test | cause | issue`. The test is the node id of a function, such as
+`tests/test_x.py::test_y`, and covers all of its cases. Failures of listed tests are printed and do not fail
+the run. The run fails if the file lists more than `MAX_LISTED` tests, or contains a malformed line, a test
+that does not exist, or a test that passes in all its cases and therefore has to be removed from the list.
 """
 
 from dataclasses import dataclass, field
@@ -12,13 +12,13 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-MOST_LISTED = 3
-FIELDS = 3
+MAX_LISTED = 3
+FIELD_COUNT = 3
 
 
 @dataclass
 class ListedTest:
-    """One line of the file, and how its cases fared in this run."""
+    """One line of the file, and the results of the test's cases in this run, by node id."""
 
     test: str
     cause: str
@@ -29,7 +29,7 @@
 
 
 def read_listed(file: Path) -> list[ListedTest]:
-    """The tests listed in the file; none if there is no file. Raises pytest.UsageError on a bad one."""
+    """The listed tests, or none if there is no file. Raises pytest.UsageError if the file is invalid."""
     if not file.exists():
         return []
     listed = []
@@ -37,16 +37,16 @@
         if not line.strip() or line.startswith("#"):
             continue
         parts = [part.strip() for part in line.split("|")]
-        if len(parts) != FIELDS or not all(parts):
+        if len(parts) != FIELD_COUNT or not all(parts):
             raise pytest.UsageError(f"{FILE_NAME}: not `test | cause | issue`: {line}")
         listed.append(ListedTest(*parts))
-    if len(listed) > MOST_LISTED:
-        raise pytest.UsageError(f"{FILE_NAME}: {len(listed)} tests are listed, {MOST_LISTED} at most")
+    if len(listed) > MAX_LISTED:
+        raise pytest.UsageError(f"{FILE_NAME}: {len(listed)} tests are listed, {MAX_LISTED} at most")
     return listed
 
 
 class KnownRed:
-    """The pytest plugin."""
+    """The pytest plugin that applies the list to a run."""
 
     def __init__(self, listed: list[ListedTest]) -> None:
         self._listed = {entry.test: entry for entry in listed}
@@ -55,14 +55,14 @@
         return self._listed.get(node_id.partition("[")[0])
 
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Marks the listed tests, so that their failures are passed over."""
+        """Marks the listed tests as expected failures."""
         for item in items:
             entry = self._entry(item.nodeid)
             if entry is not None:
                 item.add_marker(pytest.mark.xfail(reason=f"{FILE_NAME}: {entry.cause}", strict=False))
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Counts how the cases of the listed tests fared."""
+        """Records the results of the cases of listed tests."""
         entry = self._entry(report.nodeid)
         if entry is None:
             return
@@ -76,30 +76,30 @@
 
     @pytest.hookimpl(trylast=True)
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        """Fails the run where the list is not as it should be. A process that runs a share of the tests for
-        another one sees its own share alone, and leaves this to the other."""
+        """Fails the run if there are problems with the list. A pytest-xdist worker sees only some of the
+        tests, so only the main process checks."""
         if hasattr(session.config, "workerinput"):
             return
-        if session.exitstatus == pytest.ExitCode.OK and self._complaints(session.config):
+        if session.exitstatus == pytest.ExitCode.OK and self._problems(session.config):
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Prints what was passed over, and what is wrong with the list."""
+        """Prints the results of the listed tests and the problems with the list."""
         for entry in self._listed.values():
             terminalreporter.write_line(
                 f"{FILE_NAME}: {entry.test}: {len(entry.failed)} of {len(entry.cases)} cases passed over; "
                 f"cause: {entry.cause}; issue: {entry.issue}"
             )
-        for complaint in self._complaints(terminalreporter.config):
-            terminalreporter.write_line(f"{FILE_NAME}: {complaint}", red=True)
+        for problem in self._problems(terminalreporter.config):
+            terminalreporter.write_line(f"{FILE_NAME}: {problem}", red=True)
 
-    def _complaints(self, config: pytest.Config) -> list[str]:
-        found = []
-        named = config.args_source is pytest.Config.ArgsSource.ARGS
-        whole_suite = not named and not config.option.keyword
+    def _problems(self, config: pytest.Config) -> list[str]:
+        problems = []
+        has_arguments = config.args_source is pytest.Config.ArgsSource.ARGS
+        whole_suite = not has_arguments and not config.option.keyword
         for entry in self._listed.values():
             if whole_suite and not entry.cases:
-                found.append(f"{entry.test} does not exist")
+                problems.append(f"{entry.test} does not exist")
             elif entry.cases and entry.passed == entry.cases:
-                found.append(f"{entry.test} passes and is to be taken off the list")
-        return found
+                problems.append(f"{entry.test} passes and is to be taken off the list")
+        return problems
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""What surrounds one controller process in a simulated deployment: its clock and its requests."""
+"""The environment of one controller process in a simulated deployment: its clock and its HTTP client."""
 
 import logging
 from datetime import timedelta
@@ -14,67 +14,67 @@
     from tests.simulation.connections import OpenConnections
     from tests.simulation.network import SimulatedNetwork
 
-# The addresses of the services, and what they are called in the network; machines go by their address.
+# Names of the services in the simulated network, by address. Machines are named by their addresses.
 SERVICE_NAMES = {"10.2.0.1:1": "state", "10.2.0.2:1": "cloud"}
 MACHINE_PREFIX = "n-"
 
 
-class Errors(logging.Handler):
-    """What the controllers log as an error: some coroutine or listener broke, which no fault may bring
-    about."""
+class ErrorLogHandler(logging.Handler):
+    """Collects the error messages that controllers log. They mean that a coroutine or listener failed, which
+    no injected fault may cause."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
-        self.found: list[str] = []
+        self.messages: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        # What a deployment leaves unfinished is closed when it is collected, maybe while another one runs.
+        # Garbage collection closes the unfinished coroutines of an earlier deployment, maybe during this one.
         if "cannot reuse already awaited coroutine" not in record.getMessage():
-            self.found.append(record.getMessage())
+            self.messages.append(record.getMessage())
 
 
 class LifeClock:
-    """A process's view of the clock: once it is killed, none of its timers runs any more."""
+    """The clock of one process. Timers do not run once the process is killed, and wait while it is frozen."""
 
     def __init__(self, clock: ManualClock) -> None:
         self._clock = clock
-        self._began = clock.now()
+        self._started_at = clock.now()
         self.alive = True
-        # Until then it stands still, while time goes on.
+        # The time of the deployment until which the process is frozen.
         self.frozen = timedelta(0)
 
     def now(self) -> timedelta:
-        return self._clock.now() - self._began
+        return self._clock.now() - self._started_at
 
     def utc(self) -> Any:
         return self._clock.utc()
 
     def later(self, delay: timedelta, call: Any, *args: Any) -> Any:
-        def fire() -> None:
+        def run_call() -> None:
             if not self.alive:
                 return
-            still = self.frozen - self._clock.now()
-            if still > timedelta(0):
-                self._clock.later(still, fire)
+            remaining = self.frozen - self._clock.now()
+            if remaining > timedelta(0):
+                self._clock.later(remaining, run_call)
             else:
                 call(*args)
 
-        return self._clock.later(delay, fire)
+        return self._clock.later(delay, run_call)
 
 
 class SimHttp:
-    """The outgoing requests of one process, answered in the terms of its version."""
+    """The HTTP client of one process. Responses and errors are of the types of the process's version."""
 
     def __init__(
         self,
         network: "SimulatedNetwork",
         connections: "OpenConnections",
         name: str,
-        life: LifeClock,
+        clock: LifeClock,
         version: Version,
     ) -> None:
         self._network, self._connections = network, connections
-        self._name, self._life = name, life
+        self._name, self._clock = name, clock
         self._no_response = version.named("http.errors", "NoResponseError")
         self._not_sent = version.named("http.errors", "NotSentError")
         self._response = version.named("http.client", "ClientResponse")
@@ -87,31 +87,31 @@
         body: bytes | None = None,
         timeout: timedelta | None = None,
     ) -> Any:
-        waiter: Deferred[Any] = Deferred()
+        response: Deferred[Any] = Deferred()
 
-        def answered(answer: Reply | None) -> None:
-            if self._life.alive and not waiter.called:
+        def on_reply(answer: Reply | None) -> None:
+            if self._clock.alive and not response.called:
                 if answer is None:
-                    waiter.errback(self._no_response("lost"))
+                    response.errback(self._no_response("connection lost"))
                 else:
-                    waiter.callback(self._response(*answer))
+                    response.callback(self._response(*answer))
 
-        def late() -> None:
-            if not waiter.called:
-                waiter.errback(self._no_response("timed out"))
+        def on_timeout() -> None:
+            if not response.called:
+                response.errback(self._no_response("timed out"))
 
         target = SERVICE_NAMES.get(address, address)
         if self._network.refuses(target):
-            raise self._not_sent("refused")
-        # A process that starts anew has another budget.
+            raise self._not_sent("connection refused")
+        # A restarted process has a new budget: close the connection in the budget that it was opened in.
         budget = self._connections.budgets[self._name]
         is_machine = target.startswith(MACHINE_PREFIX)
         if is_machine:
             self._connections.on_opened(self._name)
-        self._network.carry(self._name, target, method, path, body or b"", answered)
-        timer = self._life.later(timeout or seconds(5), late)
+        self._network.carry(self._name, target, method, path, body or b"", on_reply)
+        timer = self._clock.later(timeout or seconds(5), on_timeout)
         try:
-            return await waiter
+            return await response
         finally:
             if is_machine:
                 budget.on_closed()
@@ -119,7 +119,7 @@
                 timer.cancel()
 
     def close_idle_connections(self) -> None:
-        """Nothing is kept here."""
+        """Does nothing, since no idle connections are kept."""
 
-    # Production has it under another name.
+    # The version in production calls it by this name.
     let_go = close_idle_connections
--- a/tests/simulated_deployment.py
+++ b/tests/simulated_deployment.py
@@ -1,5 +1,6 @@
-"""A whole deployment in one process on a simulated clock: real controllers among fakes, and a network that
-loses, delays and repeats. Every rule of the protocol is checked at the moment it could be broken."""
+"""A whole deployment in one process on a simulated clock: real controllers, fake services, workers and users,
+and a network that loses, delays and repeats messages. The invariants of the protocol are checked as events
+occur and after each step of the clock."""
 
 import logging
 import random
@@ -19,7 +20,7 @@
 from tests.invariants.liveness_invariants import LivenessInvariants
 from tests.invariants.placement_invariants import PlacementInvariants
 from tests.invariants.service_invariants import ServiceInvariants
-from tests.processes import Errors
+from tests.processes import ErrorLogHandler
 from tests.simulation.connections import OpenConnections
 from tests.simulation.controller_processes import ControllerProcesses
 from tests.simulation.endpoints import Endpoints
@@ -33,14 +34,14 @@
 from tests.simulation.peer_connections import connect_peers
 from tests.simulation.users import SimulatedUsers
 
-# Between two checks of all rules.
+# Simulated time between two checks of all invariants.
 STEP = timedelta(milliseconds=50)
 
 
 class SimulatedDeployment:
-    """Binds the parts together, runs the clock, and has every rule checked at each step."""
+    """Wires the parts together, advances the clock and checks all invariants at each step."""
 
-    # What a test that records messages replaces.
+    # Tests that record messages override this with a subclass.
     network_type: type[SimulatedNetwork] = SimulatedNetwork
 
     def __init__(
@@ -52,24 +53,24 @@
         config: DeploymentConfig | None = None,
         begin: Callable[["SimulatedDeployment"], None] | None = None,
     ) -> None:
-        """`begin` sets up what there is when the deployment begins, and starts the controllers that run then;
-        without it the deployment is empty and all controllers start at once. `error` is the share of the
-        tasks that fail."""
+        """`begin` sets up the initial state and starts the initial controllers. Without it the deployment is
+        empty and all controllers start at once. `error` is the fraction of tasks that fail."""
         self.settings = settings or OperatorSettings()
         self.config = config or DeploymentConfig(capacity=capacity)
         self.clock = ManualClock()
         self.rng = random.Random(seed)
-        # What broke a rule, and what controllers may log as an error because a test makes it happen.
+        # Descriptions of the invariants that were violated.
         self.violations: list[str] = []
+        # Prefixes of error messages that the test provokes. Any other logged error is a violation.
         self.expected_errors: tuple[str, ...] = ()
-        # How often some things happened, for the tests to see that they did.
+        # How often selected events happened, for tests to assert that they did.
         self.counts: Counter[str] = Counter()
         self.fault_window, self.rates = FaultWindow(self.clock), FaultRates()
         self.jobs = JobRecords()
         self._highest_token = 0
         self._add_services()
         self._add_network()
-        self._add_checks_of_jobs()
+        self._add_job_invariants()
         self._add_processes(error)
         self._add_users()
         self.faults = self._make_faults()
@@ -87,7 +88,7 @@
         self.cloud = Cloud(
             self.clock,
             self.rng,
-            [kind | {"vcpus": config.machine_cpus} for kind in TYPES],
+            [machine_type | {"vcpus": config.machine_cpus} for machine_type in TYPES],
             config.capacity,
             self._on_machine_booted,
             self._on_machine_terminated,
@@ -107,7 +108,7 @@
         )
         self.connections = OpenConnections(self.endpoints)
 
-    def _add_checks_of_jobs(self) -> None:
+    def _add_job_invariants(self) -> None:
         self.placement = PlacementInvariants(
             self.clock, self.config, self.jobs, self.endpoints.workers, self.violations
         )
@@ -197,41 +198,43 @@
 
     @property
     def controller_names(self) -> list[str]:
-        """Of all controllers, by their index."""
+        """The names of all controllers, by index."""
         return self.endpoints.controller_names
 
     @property
     def controllers(self) -> dict[str, Any]:
-        """Those that run now, by name."""
+        """The running controllers, by name."""
         return self.endpoints.controllers
 
     @property
     def workers(self) -> dict[str, Any]:
-        """By the machine's name, also those that are gone."""
+        """All workers ever started, by machine name. Terminated workers stay listed."""
         return self.endpoints.workers
 
     def leader(self) -> int | None:
-        """The index of the first controller that takes itself for the leader."""
+        """The index of the first controller that considers itself the leader, or None if none does."""
         return self.endpoints.leader()
 
     def leading_controller(self) -> Any:
-        """That controller itself; somebody must lead."""
+        """The controller that leads. Fails if none does."""
         leader = self.leader()
         assert leader is not None
         return self.controllers[self.controller_names[leader]]
 
     def placed_attempts(self) -> list[Any]:
-        """All that the leader holds to be on some machine."""
+        """The attempts that the leader records as placed on machines. Empty without a leader."""
         index = self.leader()
         leader = None if index is None else self.controllers[self.controller_names[index]].leader
         if leader is None:
             return []
-        return [one for machine in leader.cluster.machines.values() for one in machine.placed.values()]
+        return [
+            attempt for machine in leader.cluster.machines.values() for attempt in machine.placed.values()
+        ]
 
     def run(self, length: timedelta, step: timedelta = STEP) -> None:
-        """Lets time pass; fails as soon as a rule is broken."""
+        """Advances the clock by `length` in steps of `step`. Fails as soon as an invariant is violated."""
         end = self.clock.now() + length
-        errors = Errors()
+        errors = ErrorLogHandler()
         logging.getLogger("spindleglade").addHandler(errors)
         try:
             while self.clock.now() < end:
@@ -239,10 +242,12 @@
         finally:
             logging.getLogger("spindleglade").removeHandler(errors)
 
-    def _step(self, step: timedelta, errors: Errors) -> None:
+    def _step(self, step: timedelta, errors: ErrorLogHandler) -> None:
         self.clock.advance(step)
-        self.violations += [found for found in errors.found if not found.startswith(self.expected_errors)]
-        errors.found.clear()
+        self.violations += [
+            message for message in errors.messages if not message.startswith(self.expected_errors)
+        ]
+        errors.messages.clear()
         self.state.expire_leases()
         self._observe_leader()
         for job_id in self.jobs.cancelled_at:
@@ -254,7 +259,9 @@
         assert not self.violations, self.violations
 
     def _observe_leader(self) -> None:
-        tokens = [one.leader.term.token for one in self.controllers.values() if one.is_leader]
+        tokens = [
+            controller.leader.term.token for controller in self.controllers.values() if controller.is_leader
+        ]
         if tokens and max(tokens) > self._highest_token:
             self._highest_token = max(tokens)
             self.counts["leaders"] += 1
--- a/tests/stored_tasks.py
+++ b/tests/stored_tasks.py
@@ -1,21 +1,21 @@
-"""What the store says of tasks, at every change of it: nothing that a next leader needs may be lost."""
+"""Invariants of the tasks in the store and on machines: no information that a new leader needs is lost."""
 
 from typing import Any
 
 from tests.production import JOBS, TASKS, split_chunk_key
 from tests.simulated_deployment import SimulatedDeployment
 
-# Smaller pieces of a job's tasks, by the first task of each.
+# Keys of overflow ranges: smaller ranges of a job's tasks, each keyed by its first task.
 PARTS = "sg/part/"
 
 
 class StoredTasks:
-    """Looks at the store at each transaction, and notes in `deployment.violations` what was lost by it.
+    """Checks the store at each transaction, and adds what the transaction lost to `deployment.violations`.
 
-    A task that was done stays so, and the highest attempt of one that is not done never falls, in whichever
-    keys a job's tasks stand, for as long as the job is open. So a leader that takes over at any point gives
-    no attempt number twice and runs nothing again. A placement may only go with the number of its attempt
-    kept.
+    While a job is open, tasks that were done stay done, and the highest attempt of a task that is not done
+    never decreases, whichever keys hold the job's tasks. A leader that takes over at any point therefore
+    reuses no attempt number and runs no completed task again. A placement may be removed only if the number
+    of its attempt is kept.
     """
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
@@ -23,22 +23,22 @@
         self._done: dict[str, set[int]] = {}
         self._attempts: dict[str, dict[int, int]] = {}
         self._write = deployment.state._write
-        self._look()
-        deployment.state._write = self._write_and_look  # type: ignore[method-assign]
+        self._check()
+        deployment.state._write = self._write_and_check  # type: ignore[method-assign]
 
-    def _write_and_look(self, writes: list[dict]) -> None:
-        # Before it is told to anybody: the store tells watchers within the write.
+    def _write_and_check(self, writes: list[dict]) -> None:
+        # The write answers watches, but the network delivers the answers only after the check below.
         self._write(writes)
         self._deployment.counts["parts written"] += sum(
             write.get("set", "").startswith(PARTS) for write in writes
         )
-        if any(self._about_tasks(write) for write in writes):
-            self._look()
+        if any(self._concerns_tasks(write) for write in writes):
+            self._check()
 
-    def _about_tasks(self, write: dict) -> bool:
+    def _concerns_tasks(self, write: dict) -> bool:
         return (write.get("set") or write["remove"]).startswith((TASKS, PARTS))
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         done, attempts = self._read()
         for job in sorted(self._done.keys() | done.keys()):
             if self._stage(job) == "open":
@@ -46,8 +46,8 @@
         self._done, self._attempts = done, attempts
 
     def _read(self) -> tuple[dict[str, set[int]], dict[str, dict[int, int]]]:
-        """The tasks that are done and the highest attempts, by what each value speaks for: the tasks from its
-        first one to where the next value of the job begins."""
+        """The tasks that are done and the highest attempts, by job. Each value counts only for its own tasks:
+        from its first task up to the first task of the job's next value."""
         done: dict[str, set[int]] = {}
         attempts: dict[str, dict[int, int]] = {}
         for job, values in self._values().items():
@@ -62,16 +62,18 @@
         return done, attempts
 
     def _values(self) -> dict[str, dict[int, dict[str, Any]]]:
-        """By job and first task what a value holds; a chunk that is not there holds nothing."""
-        found: dict[str, dict[int, dict[str, Any]]] = {}
+        """The values by job and first task. A chunk without a key counts as an empty value."""
+        values_by_job: dict[str, dict[int, dict[str, Any]]] = {}
         for key, (value, _, _) in self._deployment.state.keys.items():
             if not key.startswith((TASKS, PARTS)):
                 continue
-            job, number = split_chunk_key(key) if key.startswith(TASKS) else _split_part_key(key)
+            job, number = split_chunk_key(key) if key.startswith(TASKS) else _split_overflow_range_key(key)
             size = self._deployment.state.keys[JOBS + job][0]["chunk"]
-            values = found.setdefault(job, {at: {} for at in range(0, self._tasks(job), size)})
+            values = values_by_job.setdefault(
+                job, {first_task: {} for first_task in range(0, self._tasks(job), size)}
+            )
             values[number * size if key.startswith(TASKS) else number] = value
-        return found
+        return values_by_job
 
     def _tasks(self, job: str) -> int:
         return self._deployment.state.keys[JOBS + job][0]["spec"]["threads"]
@@ -82,13 +84,17 @@
     def _compare(self, job: str, done: set[int], attempts: dict[int, int]) -> None:
         lost = self._done.get(job, set()) - done
         if lost:
-            self._deployment.violations.append(f"lost in the store: {job} tasks {sorted(lost)} are done")
+            self._deployment.violations.append(
+                f"the store no longer records that {job} tasks {sorted(lost)} are done"
+            )
         for task, attempt in self._attempts.get(job, {}).items():
             if task not in done and attempts.get(task, 0) < attempt:
-                self._deployment.violations.append(f"lost in the store: attempt {attempt} of {job}/{task}")
+                self._deployment.violations.append(
+                    f"the store no longer records attempt {attempt} of {job}/{task}"
+                )
 
 
-def _split_part_key(key: str) -> tuple[str, int]:
+def _split_overflow_range_key(key: str) -> tuple[str, int]:
     job, _, first = key[len(PARTS) :].rpartition("/")
     return job, int(first)
 
@@ -103,17 +109,22 @@
 
 
 class Attempts:
-    """Every attempt that ever came to a machine: no number is given twice."""
+    """Checks that no attempt starts on two machines or in two incarnations of one machine.
+
+    It samples the tasks of all machines ten times per heartbeat interval.
+    """
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self._deployment = deployment
-        self._seen: dict[tuple[str, int], tuple[str, int]] = {}
+        self._locations: dict[tuple[str, int], tuple[str, int]] = {}
         self._sample()
 
     def _sample(self) -> None:
         for name, worker in self._deployment.workers.items():
-            for at in worker.tasks:
-                where = (name, worker.incarnation)
-                if self._seen.setdefault(at, where) != where:
-                    self._deployment.violations.append(f"attempt {at} on {where} and on {self._seen[at]}")
+            for attempt in worker.tasks:
+                location = (name, worker.incarnation)
+                if self._locations.setdefault(attempt, location) != location:
+                    self._deployment.violations.append(
+                        f"attempt {attempt} on {location} and on {self._locations[attempt]}"
+                    )
         self._deployment.clock.later(self._deployment.config.report / 10, self._sample)
