--- a/tests/production.py
+++ b/tests/production.py
@@ -1,7 +1,7 @@
-"""What the version in production writes: its records, keys and sibling messages, as its layouts stand.
+"""The layouts of what the version in production writes: records, keys and messages between controllers.
 
-These are copies on purpose. They are pinned by the bytes in fixtures/production, which that version wrote,
-and must not follow the code: a record or message that they cannot decode is one that production cannot read.
+These are deliberate copies. They are pinned by the bytes in fixtures/production, which that version wrote,
+and must not follow the code: production cannot read a record or message that these layouts cannot decode.
 """
 
 from datetime import datetime
@@ -9,8 +9,8 @@
 
 import msgspec
 
-# The commit that wrote the fixtures. The one in production, which deploy/service.toml names, came later and
-# has the same layouts: test_production.py compares them.
+# The commit that wrote the fixtures. The commit in production, named in deploy/service.toml, is later and has
+# the same layouts, which test_production.py checks.
 COMMIT = "59133da"
 
 PREFIX = "sg/"
@@ -142,7 +142,7 @@
 
 
 def record_type(key: str) -> Any:
-    """The layout of what a key holds."""
+    """The layout of the value under a key."""
     prefixes = {JOBS: JobRecord, TASKS: Chunk, HISTORY: History, VOUCHED: list[str]}
     singles = {TYPES: Types, LEADER: LeaderRecord, TOKEN: TokenRecord}
     if key in singles:
@@ -151,7 +151,7 @@
 
 
 def decode_record(key: str, value: bytes | str) -> Any:
-    """Raises msgspec.DecodeError on what production could not read."""
+    """Decodes the value of a key. Raises msgspec.DecodeError if production could not read it."""
     return msgspec.json.decode(value, type=record_type(key))
 
 
--- a/tests/production_names.py
+++ b/tests/production_names.py
@@ -1,15 +1,15 @@
-"""Lets tests look at a controller of the version in production by the names that the present code has.
+"""Gives tests access to a controller of the version in production under the current names.
 
-Production's code is frozen, so what was renamed since keeps its older name there. Only what tests look at or
-put in place is listed.
+The code in production is frozen, so it keeps the former names of what was renamed since. Only names that
+tests read or set are listed.
 """
 
 from typing import Any
 
-# The package that production's sources are imported as.
+# The package name under which the sources of the version in production are imported.
 PRODUCTION_PACKAGE = "spindleglade_in_production"
 
-# Modules and names of the present code, and what production calls them.
+# The names in production of modules, and of classes and their members, by current name.
 MODULES = {
     "controller.controller": "app",
     "http.client": "web",
@@ -45,7 +45,7 @@
 
 
 class ProductionView:
-    """An object of production's code whose attributes go by their present names."""
+    """An object of the code in production, with its attributes under their current names."""
 
     __slots__ = ("_target",)
 
@@ -60,7 +60,7 @@
 
 
 def viewed(value: Any) -> Any:
-    """The value itself, or a view of it if it is an object of production's code, alone or in a collection."""
+    """The value, with objects of the code in production replaced by views, also in lists and dicts."""
     if isinstance(value, list):
         return [viewed(item) for item in value]
     if isinstance(value, dict):
--- a/tests/production_writer.py
+++ b/tests/production_writer.py
@@ -1,8 +1,8 @@
-"""A controller of the version in production, as the store sees it: it holds the leader's lease and writes.
+"""The store writes of a controller of the version in production that holds the leader's lease.
 
-What it rewrites it first decodes by production's layouts, so fields that those do not have are dropped, as
-they are by a real process of that version. Tasks of its own it only takes up and ends on paper: machines hear
-nothing of it.
+Records are decoded with the layouts of that version before they are rewritten, so unknown fields are dropped,
+as by a real process of that version. The writer sends no commands to machines: it records attempts of tasks
+and ends of jobs in the store only.
 """
 
 from collections.abc import Callable
@@ -19,11 +19,11 @@
 
 
 class ConditionFailed(Exception):
-    """A key had another revision than the one that the write was conditional on."""
+    """The revision of a key was not the one that the write required."""
 
 
 class ProductionWriter:
-    """Writes to a deployment's store as a production process does, conditional on the revisions of keys."""
+    """Writes to a deployment's store like a process in production, by compare-and-swap on revisions."""
 
     def __init__(self, deployment: SimulatedDeployment) -> None:
         self.deployment = deployment
@@ -34,7 +34,7 @@
         return self.deployment.state
 
     def keep_lease(self) -> None:
-        """Renews the lease of the leader key once a second, for as long as this process lives."""
+        """Renews the lease of the leader key once a second until the process ends."""
         entry = self.state.keys.get(production.LEADER)
         if not self.alive or entry is None:
             return
@@ -67,7 +67,7 @@
         self.write(key, change(self.read(key)))
 
     def end_job(self, job: str, stage: str) -> None:
-        """Its record says done or aborted from now on."""
+        """Sets the stage of the job's record, to done or aborted."""
 
         def change(record: production.JobRecord) -> production.JobRecord:
             return production.JobRecord(stage, record.spec, record.chunk, record.accepted)  # type: ignore[arg-type]
@@ -75,13 +75,13 @@
         self.write(production.job_key(job), change(self.read(production.job_key(job))), of_leader=False)
 
     def accept(self, description: dict, chunk: int, accepted: datetime) -> None:
-        """Accepts a job as production does, which ignores what it does not know of its description."""
+        """Accepts a job like production, which ignores unknown fields of the description."""
         spec = msgspec.json.decode(encode(description), type=production.Submission)
         record = production.JobRecord("open", spec, chunk, accepted)
         self.write(production.job_key(spec.id), record, of_leader=False)
 
     def count_attempt(self, job: str, number: int) -> None:
-        """Rewrites a chunk in which a task that waits has been tried once more."""
+        """Rewrites a chunk with one more attempt of a waiting task."""
 
         def change(chunk: production.Chunk) -> production.Chunk:
             task = min(chunk.tried)
--- a/tests/record_production.py
+++ b/tests/record_production.py
@@ -1,12 +1,13 @@
-"""Runs a simulated deployment of this version and records the bytes of its store and its sibling messages.
+"""Runs a simulated deployment of this version and records its store and the messages between controllers.
 
 Run once, from the repository's root at the commit that is in production, and never again with later code:
 
     python -m tests.record_production
 
-It writes fixtures/production/store.json (every key with the JSON text that was written), messages.json (one
-sibling message of each kind, base64 of its msgpack) and surroundings.json (the machines and the users of that
-moment). tests/production.py holds the layouts, and test_production.py checks that they fit these bytes.
+It writes fixtures/production/store.json (each key with the JSON text that was written), messages.json (one
+message between controllers of each kind, as base64 of its msgpack encoding) and surroundings.json (the
+machines and users at the end of the run). tests/production.py holds the layouts, and test_production.py
+checks that they fit these bytes.
 """
 
 from typing import Any
@@ -35,20 +36,20 @@
 
 
 class RecordingNetwork(SimulatedNetwork):
-    """Keeps the text of each value as it was sent, and the longest sibling message of each kind."""
+    """Records the JSON text of each written value, and the longest peer message of each kind."""
 
-    def __init__(self, *args: Any, **named: Any) -> None:
+    def __init__(self, *args: Any, **options: Any) -> None:
         self.values: dict[str, str] = {}
         self.messages: dict[str, bytes] = {}
-        super().__init__(*args, **named)
+        super().__init__(*args, **options)
 
     def serve(self, source: str, target: str, method: str, path: str, body: bytes) -> Any:
         answer: Any = super().serve(source, target, method, path, body)
         if target == "state" and path == "/txn" and answer[0] == 200:
-            self._note_writes(body, answer)
+            self._record_writes(body, answer)
         return answer
 
-    def _note_writes(self, body: bytes, answer: Reply) -> None:
+    def _record_writes(self, body: bytes, answer: Reply) -> None:
         for write in msgspec.json.decode(body, type=_RawTransaction).writes:
             if write.set is not None:
                 self.values[write.set] = bytes(write.v).decode()
@@ -61,29 +62,29 @@
 
 
 class RecordingDeployment(SimulatedDeployment):
-    """A deployment whose network records."""
+    """A deployment with a recording network."""
 
     network_type = RecordingNetwork
     network: RecordingNetwork
 
 
 def run_until_recorded() -> RecordingDeployment:
-    """A loaded day up to a moment at which the store holds a record of each kind."""
+    """Runs a deployment under load until its store holds a record of each kind."""
     deployment = RecordingDeployment(SEED, error=0.15, config=day.RECORDED)
     deployment.run(seconds(3))
-    lasts = [4.0 + (index * 7) % 60 for index in range(day.LARGE_ARRAY_TASKS)]
+    run_times_s = [4.0 + (index * 7) % 60 for index in range(day.LARGE_ARRAY_TASKS)]
     deployment.users.submit(
-        1, threads=day.LARGE_ARRAY_TASKS, vcpus=1.0, mem_gb=0.1, run_s=lasts, reckon_s=30.0
+        1, threads=day.LARGE_ARRAY_TASKS, vcpus=1.0, mem_gb=0.1, run_s=run_times_s, reckon_s=30.0
     )
     for number in range(2, 26):
-        deployment.clock.later(seconds(number * 1.2), _submit_small, deployment, number)
+        deployment.clock.later(seconds(number * 1.2), _submit_small_job, deployment, number)
     deployment.run(seconds(14))
     leader = deployment.leader()
     assert leader is not None
     follower = (leader + 1) % 3
-    # Users' requests are forwarded while the store refuses a node.
+    # While the store refuses a controller, it forwards users' requests.
     deployment.faults.refuse(follower, seconds(4))
-    # Such a node hears of cancellations from its siblings.
+    # Such a controller learns of cancellations from its peers.
     deployment.clock.later(
         seconds(1), deployment.users.cancel, "job-000003", 40, deployment.controller_names[leader]
     )
@@ -91,7 +92,8 @@
         deployment.invalid_requests.submit()
         deployment.users.poll(day.LARGE_ARRAY, deployment.controller_names[follower])
     deployment.run(seconds(6))
-    # Nodes vouch for machines while they cannot reach the leader, and so do not tell it what has ended.
+    # Controllers that cannot reach the leader renew the leases of machines and record that in the store. The
+    # leader does not learn which tasks ended meanwhile.
     names = deployment.controller_names
     for name in names:
         deployment.network.cut(name, names, False, seconds(10))
@@ -101,7 +103,7 @@
         if job != day.LARGE_ARRAY and deployment.executions.machines_of(job)
     ][:3]
     for job in aborted:
-        # What hangs does not tell of its tasks' end, so they linger in the store.
+        # A machine that hangs does not report that its tasks ended, so their placements remain in the store.
         for machine in deployment.executions.machines_of(job):
             deployment.faults.hang(machine, seconds(5))
         deployment.users.cancel(job)
@@ -113,10 +115,10 @@
     return deployment
 
 
-def _submit_small(deployment: SimulatedDeployment, number: int) -> None:
-    running = 40.0 if number % 4 == 3 else 0.5 + number % 3
+def _submit_small_job(deployment: SimulatedDeployment, number: int) -> None:
+    run_s = 40.0 if number % 4 == 3 else 0.5 + number % 3
     deployment.users.submit(
-        number, crew="blue", threads=1 + number % 3, mem_gb=0.1, run_s=running, reckon_s=5.0
+        number, crew="blue", threads=1 + number % 3, mem_gb=0.1, run_s=run_s, reckon_s=5.0
     )
 
 
@@ -125,21 +127,27 @@
         if _is_complete(deployment):
             return
         deployment.run(seconds(0.1))
-    raise AssertionError("no moment of the day had a record of each kind")
+    raise AssertionError("the store never held a record of each kind at the same time")
 
 
 def _is_complete(deployment: RecordingDeployment) -> bool:
     keys = deployment.state.keys
     chunks = {key: value[0] for key, value in keys.items() if key.startswith(TASKS)}
-    lingering = any(
+    has_cancelled_placement = any(
         chunk.get("placed") and keys[f"sg/job/{key.split('/')[2]}"][0]["stage"] == "aborted"
         for key, chunk in chunks.items()
     )
-    single = all(key in keys for key in (TYPES, LEADER, TOKEN))
-    prefixed = all(any(key.startswith(prefix) for key in keys) for prefix in (HISTORY, VOUCHED))
-    tried = any(chunk.get("tried") for chunk in chunks.values())
+    has_single_keys = all(key in keys for key in (TYPES, LEADER, TOKEN))
+    has_prefixes = all(any(key.startswith(prefix) for key in keys) for prefix in (HISTORY, VOUCHED))
+    has_tried_tasks = any(chunk.get("tried") for chunk in chunks.values())
     stages = {value[0]["stage"] for key, value in keys.items() if key.startswith("sg/job/")}
-    return lingering and single and prefixed and tried and stages == {"open", "aborted", "done"}
+    return (
+        has_cancelled_placement
+        and has_single_keys
+        and has_prefixes
+        and has_tried_tasks
+        and stages == {"open", "aborted", "done"}
+    )
 
 
 def recorded_store(deployment: RecordingDeployment) -> day.RecordedStore:
--- a/tests/recorded_day.py
+++ b/tests/recorded_day.py
@@ -1,7 +1,8 @@
-"""A day that production has run the first part of: the store as it left it, and machines and users with it.
+"""A recorded deployment of the version in production: its store, machines and users at one moment.
 
-The store's part is bytes that production wrote (fixtures/production, made by record_production.py). What the
-machines run and what users were told stands beside it, so that a deployment can go on from there.
+The values of the store are bytes that production wrote (fixtures/production, made by record_production.py).
+The recording also holds the tasks on the machines and the answers to users, which lets a deployment of this
+version continue from that moment.
 """
 
 from datetime import timedelta
@@ -18,7 +19,7 @@
 from tests.simulated_deployment import SimulatedDeployment
 
 FIXTURES = Path(__file__).parent / "fixtures" / "production"
-# Such values that production gives an array of 250 tasks one chunk.
+# With this limit on values, production stores an array of 250 tasks in one chunk.
 RECORDED = DeploymentConfig(
     capacity=24,
     machine_cpus=16.0,
@@ -34,8 +35,9 @@
 
 class StoredEntry(msgspec.Struct):
     key: str
-    # The JSON text as it was written.
+    # The JSON text of the value as it was written.
     value: str
+    # The revision of the last write to the key.
     mark: int
     lease: int | None = None
 
@@ -47,6 +49,7 @@
 
 class RecordedStore(msgspec.Struct):
     commit: str
+    # The revision of the store.
     turn: int
     next_lease: int
     leases: list[StoredLease]
@@ -64,7 +67,7 @@
     attempt: int
     stage: str
     cause: str | None
-    # Until it runs, or ends, if anything is under way.
+    # Time until the task runs or ends. None if it has exited.
     left_s: float | None
 
 
@@ -73,6 +76,7 @@
     type: str
     zone: str
     spot: bool
+    # When the machine was provisioned.
     since_s: float
     incarnation: int = msgspec.field(name="session")
     sequence: int = msgspec.field(name="tally")
@@ -92,11 +96,13 @@
 
 
 class RecordedSurroundings(msgspec.Struct):
-    """All but the store: when it is, the machines and what users know."""
+    """Everything but the store: the time, the machines, and what users did and observed."""
 
     at_s: float
     machines: list[RecordedMachine]
+    # How many machines were provisioned so far.
     machines_made: int
+    # The names of the provisioned machines, by the id of the provisioning request.
     rentals: dict[str, list[str]]
     users: RecordedUsers
 
@@ -116,7 +122,7 @@
 def recorded_deployment(
     seed: int, config: DeploymentConfig = RECORDED, controllers: tuple[int, ...] = ()
 ) -> SimulatedDeployment:
-    """A deployment that goes on from the recorded moment, with those controllers started."""
+    """A deployment that continues from the recorded moment, with the controllers of these indices started."""
 
     def begin(deployment: SimulatedDeployment) -> None:
         _restore(deployment)
@@ -183,17 +189,18 @@
 def answers_everywhere(
     deployment: SimulatedDeployment, jobs: list[str]
 ) -> dict[tuple[str, str], tuple[int, Any]]:
-    """What each controller answers for each job, asked straight: the status and the body."""
-    got: dict[tuple[str, str], tuple[int, Any]] = {}
-    waiting: list[Deferred] = []
+    """The status and body that each running controller answers for each job, keyed by controller and job. The
+    requests do not use the simulated network."""
+    answers: dict[tuple[str, str], tuple[int, Any]] = {}
+    pending: list[Deferred] = []
     for name, controller in deployment.controllers.items():
         for job in jobs:
-            waiting.append(Deferred.fromCoroutine(controller.handle("GET", f"/submissions/{job}", b"")))
-            waiting[-1].addCallback(
-                lambda answer, at=(name, job): got.update(
-                    {at: (answer.status, msgspec.json.decode(answer.body))}
+            pending.append(Deferred.fromCoroutine(controller.handle("GET", f"/submissions/{job}", b"")))
+            pending[-1].addCallback(
+                lambda answer, key=(name, job): answers.update(
+                    {key: (answer.status, msgspec.json.decode(answer.body))}
                 )
             )
     deployment.run(timedelta(seconds=3))
-    assert len(got) == len(waiting)
-    return got
+    assert len(answers) == len(pending)
+    return answers
--- a/tests/upgrade_on_loopback.py
+++ b/tests/upgrade_on_loopback.py
@@ -1,10 +1,10 @@
-"""An upgrade with real processes on loopback; a test runs it, and so can you:
+"""A rolling upgrade with real processes on loopback. tests/test_smoke.py runs it. To run it by hand:
 
     python -m tests.upgrade_on_loopback
 
-Three controllers of the version in production, taken from the repository's history, are replaced one after
-the other by the code as it stands. Each controller leads at each stage, while the others end and come back as
-they were; jobs run under every leader, and pipelines once all are of this version.
+Three controllers of the version in production, taken from the repository's history, are replaced one by one
+by the current code. At each stage every controller leads once, while the others are killed and restarted from
+their checkouts. A job runs under each leader, and a pipeline once all controllers run the current code.
 """
 
 import tempfile
@@ -14,37 +14,37 @@
 from tests.production import LEADER
 from tests.versions import extract_production
 
-LIMIT_S = 380
+TIME_LIMIT_S = 380
 
 
-def leader(deployment):
-    """The number of the controller that the store says leads; None if there is none."""
+def leader_index(deployment):
+    """The index of the controller that the store records as the leader, or None if there is no leader."""
     entry = deployment.state.keys.get(LEADER)
     return None if entry is None else int(entry[0]["node"].rpartition("-")[2])
 
 
-async def make_leader(deployment, at, roots):
-    """The others end, and are back once this one leads."""
+async def make_leader(deployment, index, roots):
+    """Kills the other controllers until this one leads, then starts them again."""
     for other in range(3):
-        if other != at:
+        if other != index:
             deployment.kill(other)
     for _ in range(300):
-        if leader(deployment) == at:
+        if leader_index(deployment) == index:
             break
         await pause()
-    assert leader(deployment) == at, f"node-{at} does not lead"
+    assert leader_index(deployment) == index, f"node-{index} does not lead"
     for other in range(3):
-        if other != at:
+        if other != index:
             deployment.start(other, roots[other])
 
 
 async def upgrade(folder):
-    """The story; raises AssertionError where something does not hold."""
+    """Runs the upgrade. Raises AssertionError if a controller does not lead or a job is not done in time."""
     production = Path(folder) / "production"
     extract_production(production)
     roots = [production] * 3
     deployment = Loopback(Path(folder), roots)
-    number = 0
+    job_number = 0
     try:
         await deployment.ready()
         await deployment.run_job("job-000001")
@@ -52,13 +52,13 @@
             roots[upgraded] = ROOT
             deployment.kill(upgraded)
             deployment.start(upgraded, ROOT)
-            for at in range(3):
-                number += 1
-                await deployment.submit(f"job-0001{number:02d}")
-                await make_leader(deployment, at, roots)
-                await deployment.done(f"job-0001{number:02d}")
+            for index in range(3):
+                job_number += 1
+                await deployment.submit(f"job-0001{job_number:02d}")
+                await make_leader(deployment, index, roots)
+                await deployment.done(f"job-0001{job_number:02d}")
                 print(
-                    f"{upgraded + 1} of 3 replaced, node-{at} leads, {len(deployment.jobs)} jobs done",
+                    f"{upgraded + 1} of 3 replaced, node-{index} leads, {len(deployment.jobs)} jobs done",
                     flush=True,
                 )
         await deployment.submit("job-000200")
@@ -73,7 +73,7 @@
 
 def main():
     with tempfile.TemporaryDirectory() as folder:
-        run_in_reactor(lambda: upgrade(folder), LIMIT_S)
+        run_in_reactor(lambda: upgrade(folder), TIME_LIMIT_S)
 
 
 if __name__ == "__main__":
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -1,8 +1,8 @@
-"""The versions of the service that a simulated deployment can run: the code as it stands, and the one in
-production, which `deploy/service.toml` names and the repository's history holds.
+"""The versions of the service that a simulated deployment can run: the current code, and the version in
+production, which `deploy/service.toml` names and the repository's history contains.
 
-The sources of the latter are imported as a second package beside the present one, so that processes of both
-versions serve in one simulated deployment, on the same store, machines and users.
+The sources of the version in production are imported as a second package beside the current one. Processes of
+both versions can then serve in one simulated deployment, with the same store, machines and users.
 """
 
 import importlib
@@ -25,22 +25,22 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = "spindleglade"
-_IMPORT = re.compile(rf"^(\s*(?:from|import) ){PACKAGE}\b", re.MULTILINE)
+_PACKAGE_IMPORT = re.compile(rf"^(\s*(?:from|import) ){PACKAGE}\b", re.MULTILINE)
 
 
 @dataclass(frozen=True)
 class Version:
-    """One version of the service, by the package that it is imported as."""
+    """One version of the service. `package` is the name of the package that it is imported as."""
 
     package: str
 
     def module(self, name: str) -> ModuleType:
-        """A module of this version, such as `leadership.peer_messages`, by its present name."""
+        """A module of this version, by its current name, such as `leadership.peer_messages`."""
         own_name = MODULES.get(name, name) if self.is_production else name
         return importlib.import_module(f"{self.package}.{own_name}")
 
     def named(self, module: str, name: str) -> Any:
-        """What this version defines in a module, by the present names of both."""
+        """A member of a module of this version, by the current names of the module and the member."""
         own_name = NAMES.get(name, name) if self.is_production else name
         return getattr(self.module(module), own_name)
 
@@ -49,36 +49,36 @@
         """Whether this is the version in production."""
         return self.package == PRODUCTION_PACKAGE
 
-    def platform(self, described: dict[str, Any]) -> Any:
-        """The platform's settings as this version reads them."""
-        return msgspec.convert(described, self.module("settings").Platform)
+    def platform(self, settings: dict[str, Any]) -> Any:
+        """Decodes the platform settings with the types of this version."""
+        return msgspec.convert(settings, self.module("settings").Platform)
 
     def read_message(self, encoded: bytes) -> Any:
-        """A message of a sibling as this version reads it."""
+        """Decodes a peer message with the types of this version."""
         return msgspec.msgpack.decode(encoded, type=self.module("leadership.peer_messages").Message)
 
 
 CURRENT = Version(PACKAGE)
 
 
-def is_of_production(node: Any) -> bool:
-    """Whether a controller's process runs the version in production."""
-    return isinstance(node, ProductionView)
+def is_of_production(controller: Any) -> bool:
+    """Whether a controller runs the version in production."""
+    return isinstance(controller, ProductionView)
 
 
 def production_commit() -> str:
-    """The commit that `deploy/service.toml` records."""
+    """The commit in production, as recorded in `deploy/service.toml`."""
     return tomllib.loads((ROOT / "deploy" / "service.toml").read_text(encoding="utf-8"))["production"]
 
 
 def has_history() -> bool:
-    """Whether this is a checkout with the repository's history; a tree that was unpacked from an archive has
-    none, and the version in production cannot be taken from it."""
+    """Whether this is a checkout with the repository's history. A tree unpacked from an archive has none, and
+    the version in production cannot be extracted from it."""
     return (ROOT / ".git").exists()
 
 
 def extract_production(folder: Path) -> None:
-    """Puts the sources of the version in production there."""
+    """Extracts the sources of the version in production into the folder."""
     command = ["git", "-C", str(ROOT), "archive", production_commit()]
     archive = subprocess.run(command, check=True, capture_output=True).stdout
     with tarfile.open(fileobj=io.BytesIO(archive)) as tar:
@@ -87,14 +87,15 @@
 
 @cache
 def production() -> Version:
-    """The version in production, imported from a copy that lives as long as this process. Raises
+    """The version in production, imported from a copy that is removed when this process ends. Raises
     CalledProcessError if the history lacks its commit."""
-    folder = Path(_copies().name)
+    folder = Path(_temporary_folder().name)
     extract_production(folder)
-    # Only imports are renamed: the names of loggers and stored keys stay.
+    # Rename the package in imports only: the names of loggers and stored keys stay the same.
     for file in (folder / PACKAGE).rglob("*.py"):
         file.write_text(
-            _IMPORT.sub(rf"\1{PRODUCTION_PACKAGE}", file.read_text(encoding="utf-8")), encoding="utf-8"
+            _PACKAGE_IMPORT.sub(rf"\1{PRODUCTION_PACKAGE}", file.read_text(encoding="utf-8")),
+            encoding="utf-8",
         )
     (folder / PACKAGE).rename(folder / PRODUCTION_PACKAGE)
     sys.path.append(str(folder))
@@ -102,6 +103,6 @@
 
 
 @cache
-def _copies() -> tempfile.TemporaryDirectory[str]:
-    """Removed when the process ends."""
+def _temporary_folder() -> tempfile.TemporaryDirectory[str]:
+    """A folder that is removed when the process ends."""
     return tempfile.TemporaryDirectory(prefix="spindleglade-production-")
