--- a/tests/test_combined_faults_of_placement.py
+++ b/tests/test_combined_faults_of_placement.py
@@ -1,7 +1,8 @@
-"""Two faults at once, and where and when tasks run then: limits, zones, held commands, and load.
+"""Combinations of two faults and their effect on placement: team limits, zones, held commands, and load.
 
-SimulatedDeployment.run checks every rule all the time; `settle` asks at the end that all is served again. The
-table in docs/combined-faults.md says which test brings about which combination, and which guard holds it.
+SimulatedDeployment.run checks every invariant throughout the run; `settle` checks at the end that every job
+is over and that users are told so. docs/combined-faults.md lists which test covers which combination, and
+which safeguard handles it.
 """
 
 import pytest
@@ -11,13 +12,15 @@
 from tests.simulated_deployment import SimulatedDeployment
 from tests.workloads import ROOMY, address, busy, running, settle
 
-# Limits.
+# Limits of teams.
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("how", ["cut", "held", "hang", "deaf"])
-def test_every_team_is_at_its_limit_while_cancelled_work_cannot_be_reached(seed, how):
-    """And the leader changes. What is not proven gone counts: the limits are checked at each start."""
+@pytest.mark.parametrize("fault", ["cut", "held", "hang", "unreachable"])
+def test_every_team_is_at_its_limit_while_cancelled_work_cannot_be_reached(seed, fault):
+    """Both teams use their whole limit when jobs are cancelled on machines that cannot be reached, and the
+    leader changes. A cancelled attempt counts against the team's limit until it is proven to have ended; the
+    deployment checks the limits at each start."""
     teams = tuple({"name": name, "cpus": 8.0, "cpus_max": 12.0} for name in ("red", "blue"))
     deployment = SimulatedDeployment(
         400 + seed, config=DeploymentConfig(capacity=8, teams=teams, lease=seconds(12))
@@ -33,11 +36,11 @@
     for name in sorted({machine for job in jobs[:2] for machine in deployment.executions.machines_of(job)})[
         :3
     ]:
-        if how in ("cut", "held"):
+        if fault in ("cut", "held"):
             deployment.network.cut(
-                address(deployment, name), deployment.controller_names, how == "held", length
+                address(deployment, name), deployment.controller_names, fault == "held", length
             )
-        elif how == "deaf":
+        elif fault == "unreachable":
             deployment.faults.make_unreachable(address(deployment, name), length)
         else:
             deployment.faults.hang(name, length)
@@ -47,7 +50,7 @@
         deployment.run(seconds(deployment.rng.uniform(0, 5)))
         deployment.faults.restart(deployment.leader(), seconds(0.3))
     else:
-        # The cancellation falls into the spell in which the new leader cannot ask.
+        # The cancellation comes while the new leader cannot reach the machines.
         deployment.faults.restart(deployment.leader(), seconds(0.3))
         deployment.run(seconds(1.5))
         deployment.users.cancel(jobs[0])
@@ -59,9 +62,10 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_held_start_of_the_old_leader_counts_until_it_cannot_land(seed):
-    """The team is at its limit by a job whose starts are held up on their way. The leader ends, the job is
-    cancelled, and the machines do not hear the new leader: what they report, under the old token, without
-    those tasks, shows nothing, for the starts still land. The team's next job may not run beside them."""
+    """A job whose start commands are held up in the network uses the team's whole limit. The leader ends, the
+    job is cancelled, and no message of the new leader reaches the machines. Their heartbeats carry the old
+    fencing token and do not list the tasks, which proves nothing: the start commands may still arrive. The
+    team's next job must not run at the same time as those tasks."""
     teams = ({"name": "red", "cpus": 4.0, "cpus_max": 4.0}, {"name": "blue", "cpus": 40.0, "cpus_max": 80.0})
     deployment = SimulatedDeployment(
         440 + seed, config=DeploymentConfig(capacity=4, teams=teams, lease=seconds(8))
@@ -77,15 +81,19 @@
     assert len(machines) == 4
     deployment.network.cut(deployment.controller_names[old], machines, True, seconds(9.5 + seed / 4))
     first = deployment.users.submit(100, crew="red", threads=2, vcpus=2.0, run_s=20.0)
-    while not any(one.starts_in_flight for one in deployment.placed_attempts()):
+    while not any(attempt.starts_in_flight for attempt in deployment.placed_attempts()):
         deployment.run(seconds(0.05))
-    at = {address(deployment, one.machine) for one in deployment.placed_attempts() if one.job.id == first}
+    machines_of_first = {
+        address(deployment, attempt.machine)
+        for attempt in deployment.placed_attempts()
+        if attempt.job.id == first
+    }
     deployment.processes.kill(old)
     deployment.users.cancel(first)
     second = deployment.users.submit(101, crew="red", threads=2, vcpus=2.0, run_s=20.0)
     deployment.run(seconds(3.5))
-    # Their leases were renewed by a peer until now; the new leader comes.
-    for machine in at:
+    # A follower has renewed the leases until now; the new leader is about to be elected.
+    for machine in machines_of_first:
         deployment.faults.make_unreachable(machine, seconds(7))
     deployment.run(seconds(6))
     assert deployment.leader() not in (None, old) and deployment.jobs.cancelled_at
@@ -99,30 +107,31 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_jobs_bound_to_zones_lose_machines(seed):
-    """Jobs of one zone, together and scattered ones: machines die, are taken or fall behind a cut, zones and
-    leaders too. The deployment checks each place."""
+    """Jobs are bound to a named zone, to any single zone, or spread over zones, while machines fail, are
+    preempted by the cloud or are cut off, a zone is cut off, and the leader restarts. The deployment checks
+    the zone of each placement."""
     deployment = SimulatedDeployment(500 + seed, config=DeploymentConfig(capacity=10, teams=ROOMY))
     deployment.run(seconds(3))
     for number in range(24):
-        how = [{"glade": "a"}, {"glade": "b"}, {"together": True}, {"scatter": True}][number % 4]
+        zone_fields = [{"glade": "a"}, {"glade": "b"}, {"together": True}, {"scatter": True}][number % 4]
         fields = {
             "threads": deployment.rng.choice([1, 3, 5]),
             "vcpus": 2.0,
             "run_s": 6.0,
             "crew": "red",
-        } | how
+        } | zone_fields
         deployment.clock.later(
             seconds(number), lambda n=number, f=fields: deployment.users.submit_and_poll(n, **f)
         )
 
-    def lose():
+    def disrupt_some_machine():
         living = sorted(name for name, worker in deployment.workers.items() if not worker.terminated)
         if living:
             name = deployment.rng.choice(living)
-            how = deployment.rng.choice(["dies", "taken", "cut"])
-            if how == "dies":
+            fault = deployment.rng.choice(["fails", "preempted", "cut off"])
+            if fault == "fails":
                 deployment.faults.kill_machine(name)
-            elif how == "taken":
+            elif fault == "preempted":
                 deployment.faults.give_notice(name, seconds(3))
             else:
                 deployment.network.cut(
@@ -130,7 +139,7 @@
                 )
 
     for at in range(4, 28, 3):
-        deployment.clock.later(seconds(at), lose)
+        deployment.clock.later(seconds(at), disrupt_some_machine)
     deployment.clock.later(seconds(10), deployment.network.cut_zone, "ab"[seed % 2], seed < 2, seconds(12))
     deployment.clock.later(
         seconds(14),
@@ -143,7 +152,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease(seed):
-    """What users cancel meanwhile ends in time, and nothing runs twice."""
+    """Jobs that users cancel meanwhile end in time, and no task runs twice at the same time."""
     deployment = SimulatedDeployment(520 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
     running(deployment, 10, vcpus=2.0, run_s=30.0)
@@ -158,10 +167,10 @@
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("relayed", [True, False])
 def test_a_start_is_held_up_and_its_job_cancelled(seed, relayed):
-    """The way from the leader to a machine holds all back, while the machine's reports come by way of a
-    peer, so that its lease goes on; or the peer reaches the store alone, and renews it by itself. The
-    cloud takes nothing back meanwhile. The start must not land after a cancellation's time."""
-    # Too few machines for the leader to take itself for the one that is not heard.
+    """The network holds all messages from the leader to the machines. Meanwhile a follower either relays the
+    machines' heartbeats, or reaches only the store and renews their leases by itself. The cloud terminates no
+    machine. The start command must not take effect later than `cancel_s` after the cancellation."""
+    # Too few machines for the leader to conclude that it is isolated itself.
     deployment = SimulatedDeployment(540 + seed, config=DeploymentConfig(capacity=2, teams=ROOMY))
     deployment.cloud.boot_failure_probability = 0.0
     deployment.run(seconds(3))
@@ -176,13 +185,13 @@
     deployment.clock.later(CANCEL + seconds(20), setattr, deployment.cloud, "unavailable", False)
     jobs = [deployment.users.submit(100 + number, threads=2, vcpus=1.0, run_s=30.0) for number in range(2)]
     deployment.run(seconds(1))
-    assert any(assignment.starts_in_flight for assignment in deployment.placed_attempts()), (
-        "a start is on its way"
+    assert any(attempt.starts_in_flight for attempt in deployment.placed_attempts()), (
+        "no start command is in flight"
     )
-    near, far = (deployment.controller_names[(leader + step) % 3] for step in (1, 2))
+    follower, other_follower = (deployment.controller_names[(leader + step) % 3] for step in (1, 2))
     if not relayed:
-        deployment.network.cut(near, deployment.controller_names, False, CANCEL + seconds(8))
-        deployment.network.cut(far, machines, False, CANCEL + seconds(8))
+        deployment.network.cut(follower, deployment.controller_names, False, CANCEL + seconds(8))
+        deployment.network.cut(other_follower, machines, False, CANCEL + seconds(8))
     for job in jobs:
         deployment.users.cancel(job)
     deployment.run(CANCEL + seconds(20))
@@ -192,7 +201,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_machines_that_cannot_report_get_no_work_that_they_would_lose(seed):
-    """They reach no controller, so that their leases run out, though direct commands reach them."""
+    """Commands reach these machines, but their heartbeats reach no controller, so their leases expire. Tasks
+    placed on them would be lost again and again."""
     deployment = SimulatedDeployment(560 + seed, config=DeploymentConfig(capacity=6, teams=ROOMY))
     deployment.cloud.boot_failure_probability = 0.0
     deployment.run(seconds(3))
@@ -200,7 +210,7 @@
     for worker in list(deployment.workers.values())[: len(deployment.workers) // 2]:
         if not worker.terminated:
             deployment.faults.stop_heartbeats(worker.machine.address, seconds(90))
-    before = deployment.executions.started
+    started_before = deployment.executions.started
     jobs = [deployment.users.submit(100 + number, threads=1, vcpus=8.0, run_s=14.0) for number in range(5)]
     for job in jobs:
         deployment.users.poll_until_over(job)
@@ -208,13 +218,14 @@
     assert all(deployment.jobs.observed_states[job] == "done" for job in jobs), (
         deployment.jobs.observed_states
     )
-    assert deployment.executions.started - before <= len(jobs) + 6
+    assert deployment.executions.started - started_before <= len(jobs) + 6
     settle(deployment)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_cancelled_work_on_machines_that_hang(seed):
-    """Commands and answers are held up for seconds, and the machines then go on, some within their lease."""
+    """The machines hang for some seconds, shorter or longer than their lease, and then handle the commands
+    and responses that arrived meanwhile. Cancelled tasks must not go on."""
     deployment = SimulatedDeployment(580 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     busy(deployment, 60, cancelled=0.1)
     for at in range(5, 30, 4):
@@ -235,24 +246,26 @@
 
 
 def test_one_task_jobs_come_four_a_second_for_minutes():
-    """A quarter of them cancelled. Few changes of the store are made for each."""
+    """A quarter of the jobs are cancelled. The average number of store writes per job is bounded."""
     deployment = SimulatedDeployment(
         600, config=DeploymentConfig(capacity=12, teams=ROOMY, write_rps=40.0, rps=100.0)
     )
     deployment.run(seconds(3))
-    first = deployment.state.changes
+    changes_before = deployment.state.changes
     busy(deployment, 480, every=0.25, cancelled=0.25, threads=1, vcpus=1.0, run_s=4.0)
     deployment.run(seconds(125))
     settle(deployment, 30)
-    # Accepted, placed, done, and its chunk removed; or cancelled instead of the last two.
-    changes = (deployment.state.changes - first) / 480
-    assert changes < 4.2, changes
+    # A job that ends takes four writes: accepted, placed, done, task range removed. A cancelled job takes
+    # three: accepted, placed, cancelled.
+    changes_per_job = (deployment.state.changes - changes_before) / 480
+    assert changes_per_job < 4.2, changes_per_job
     assert deployment.state.rejected_for_rate < 50
 
 
 def test_more_work_than_room_over_slow_links():
-    """Urgent and not, for five minutes. The largest jobs are the least urgent; they begin in time all the
-    same, and every class and team is served."""
+    """For five minutes there is more work, of high and low priority, than the machines can run. The largest
+    jobs have the lowest priority; they must start in time nevertheless, and every class and team must
+    be served."""
     deployment = SimulatedDeployment(620, config=DeploymentConfig(capacity=5, teams=ROOMY))
     deployment.run(seconds(3))
     deployment.faults.during(seconds(300), "slow_links", seconds(0.4))
--- a/tests/test_combined_faults_of_store.py
+++ b/tests/test_combined_faults_of_store.py
@@ -1,7 +1,8 @@
-"""Two faults at once, of the store and of what users ask meanwhile.
+"""Combinations of two faults of the store, and users' requests meanwhile.
 
-SimulatedDeployment.run checks every rule all the time; `settle` asks at the end that all is served again. The
-table in docs/combined-faults.md says which test brings about which combination, and which guard holds it.
+SimulatedDeployment.run checks every invariant throughout the run; `settle` checks at the end that every job
+is over and that users are told so. docs/combined-faults.md lists which test covers which combination, and
+which safeguard handles it.
 """
 
 import pytest
@@ -17,15 +18,16 @@
 @pytest.mark.parametrize(
     ("seed", "at_end"), [*((seed, 0.0) for seed in range(6)), (0, 0.6), (2, 0.6), (4, 0.6)]
 )
-@pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
-def test_transactions_without_an_answer(seed, at_end, which):
-    """Carried out late, after newer ones of the same controller, or at once with only the answer lost
-    while other controllers read what they wrote; users look closely and cancel at an end, and the leader
-    ends amid it."""
+@pytest.mark.parametrize("fault", ["late_writes", "lost_answers"])
+def test_transactions_without_an_answer(seed, at_end, fault):
+    """A transaction without an answer is either applied late, after newer ones of the same controller, or at
+    once, so that other controllers read its writes while the sender does not know the outcome. Meanwhile
+    users poll all controllers, cancel jobs as they end (with probability `at_end`), and the leader
+    restarts."""
     deployment = SimulatedDeployment(100 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     busy(deployment, 40)
     deployment.clock.later(
-        seconds(3), deployment.faults.during, seconds(30), which, 0.5 if which == "late_writes" else 0.35
+        seconds(3), deployment.faults.during, seconds(30), fault, 0.5 if fault == "late_writes" else 0.35
     )
     deployment.clock.later(seconds(3), deployment.faults.during, seconds(30), "poll_everywhere", True)
     deployment.clock.later(seconds(3), deployment.faults.during, seconds(30), "cancel_at_end", at_end)
@@ -43,7 +45,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_new_machines_get_work_while_writes_lag_and_the_leader_ends(seed):
-    """They are up within two seconds; what is recorded about them comes late, and another leads by then."""
+    """Machines are ready within two seconds, but some records about them are written late, when another
+    controller leads already."""
     deployment = SimulatedDeployment(120 + seed, config=DeploymentConfig(capacity=10, teams=ROOMY))
     deployment.cloud.boot_time_s = (0.2, 1.5)
     deployment.run(seconds(3))
@@ -66,18 +69,19 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_cancellations_hold_while_the_store_refuses_the_leader_and_is_then_down(seed):
-    """The store refuses the leader alone; jobs are cancelled at the other controllers in that second; then
-    it is down for all, for longer than a cancellation may take."""
+    """The store refuses the leader alone. One second later it is down for all controllers, for longer than
+    `cancel_s`. In that second users cancel jobs through the other controllers; the confirmed cancellations
+    must take effect in time."""
     deployment = SimulatedDeployment(140 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
-    # Others go on, so that the leader keeps its fleet and its workers their sessions.
+    # These jobs keep running, so the leader keeps its machines, and the workers keep their incarnations.
     jobs = running(deployment, 12, vcpus=2.0, run_s=90.0)
     busy(deployment, 10, cancelled=0.5)
     deployment.run(seconds(4))
     deployment.faults.refuse_leader_then_outage(seconds(12), CANCEL * 2)
     deployment.faults.cancel_running(8, seconds(0))
     deployment.run(seconds(0.9))
-    assert len(deployment.jobs.cancelled_at) >= 4, "confirmed before the outage"
+    assert len(deployment.jobs.cancelled_at) >= 4, "too few cancellations confirmed before the outage"
     assert set(jobs) - deployment.jobs.cancel_requested
     deployment.run(seconds(50))
     settle(deployment, 200)
@@ -85,7 +89,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_slow_store_refuses_the_leader_and_then_everybody(seed):
-    """While users cancel and ask."""
+    """Users cancel and poll jobs while the store is slow, refuses the leader, and is then down for all."""
     deployment = SimulatedDeployment(160 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     busy(deployment, 60, cancelled=0.4)
     deployment.clock.later(seconds(4), deployment.faults.during, seconds(20), "slow_store", seconds(1.2))
@@ -98,14 +102,14 @@
     settle(deployment, 90)
 
 
-# Answers.
+# Answers to users.
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_all_controllers_agree_within_milliseconds_of_each_answer(seed):
-    """All controllers are asked within milliseconds, again and again, and the submission repeated, after
-    every answer that said something new; a third of the jobs are cancelled at once, and half of those that
-    end at the moment of the end. All controllers then say the same for good."""
+    """After every answer with a new state, users poll all controllers within milliseconds, several times, and
+    repeat the submission. Three tenths of the jobs are cancelled at once, and half of the ending jobs are
+    cancelled at the moment of their end. All controllers must answer the same final state."""
     deployment = SimulatedDeployment(200 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
     deployment.faults.during(seconds(30), "poll_everywhere", True)
@@ -124,8 +128,8 @@
 
 
 def test_invalid_requests_change_nothing():
-    """Repeats of what is under way, cancellations of what is done, and jobs that can never run, while the
-    store is slow and refuses controllers."""
+    """Users repeat submissions of open jobs, cancel jobs that are done, and submit jobs that can never run,
+    while the store is slow, refuses a controller and is down, and a controller restarts."""
     deployment = SimulatedDeployment(220, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
     busy(deployment, 40)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""The service goes on: whatever the first minute is like, whatever breaks once, whatever the cloud lacks."""
+"""Liveness: accepted work starts although controllers start late, loops fail or machines are scarce."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,36 +20,36 @@
 from tests.invariants.liveness_invariants import LEADS_WITHIN, STARTS_WITHIN
 from tests.simulated_deployment import SimulatedDeployment
 
-# Machines that the cloud has: none, one, few and tens.
+# Numbers of machines that the cloud can provision.
 FLEET_SIZES = (0, 1, 3, 12, 30)
-# The faults strike within so many seconds of the first process's start.
+# Generated faults begin, and controllers start, at most so many seconds after the deployment.
 FIRST_FAULTS_S = 8.0
 
 
-class Broken(Exception):
-    """Raised on purpose."""
+class InjectedError(Exception):
+    """The error that these tests inject."""
 
 
-def breaks_once(method: Callable[..., Any], calls_before: int) -> Callable[..., Any]:
-    """The method, but one call of it raises."""
+def fails_once(method: Callable[..., Any], calls_before: int) -> Callable[..., Any]:
+    """Wraps the method so that exactly one call, after `calls_before` successful ones, raises an error."""
     calls = 0
 
     def wrapped(*args: Any, **kwargs: Any) -> Any:
         nonlocal calls
         calls += 1
         if calls == calls_before + 1:
-            raise Broken
+            raise InjectedError
         return method(*args, **kwargs)
 
     return wrapped
 
 
 LOOPS = {
-    "recorder": (ClusterState, "collect_writes"),
-    "renting": (ScaleOut, "run"),
-    "giving back": (ScaleIn, "run"),
-    "list of machines": (MachineListReader, "apply"),
-    "upkeep": (ClusterState, "set_machine_types"),
+    "record writer": (ClusterState, "collect_writes"),
+    "scale-out": (ScaleOut, "run"),
+    "scale-in": (ScaleIn, "run"),
+    "machine list": (MachineListReader, "apply"),
+    "machine types": (ClusterState, "set_machine_types"),
     "planning": (ClusterState, "snapshot"),
     "applying a plan": (ClusterState, "apply_plan"),
     "recovery": (RecordLoader, "load"),
@@ -59,9 +59,10 @@
 @pytest.mark.parametrize("calls_before", [0, 2])
 @pytest.mark.parametrize("loop", LOOPS)
 def test_a_loop_that_breaks_in_one_pass_goes_on(loop, calls_before, monkeypatch):
-    """The recorder and the fleet's loops used to end for good, under a leader that kept its lease."""
+    """An error in one pass must not end a loop: without the loops that write records and scale the fleet, the
+    leader would keep its lease but start no work."""
     owner, name = LOOPS[loop]
-    monkeypatch.setattr(owner, name, breaks_once(getattr(owner, name), calls_before))
+    monkeypatch.setattr(owner, name, fails_once(getattr(owner, name), calls_before))
     deployment = SimulatedDeployment(31)
     deployment.expected_errors = ("",)
     deployment.run(seconds(5))
@@ -70,7 +71,7 @@
         deployment.users.poll_until_over(job)
     deployment.run(seconds(40))
     assert {deployment.jobs.observed_states[job] for job in jobs} == {"done"}
-    # And what comes later is served as well, by machines that have to be rented anew.
+    # A job submitted after the idle machines were terminated is served too, on newly provisioned machines.
     deployment.run(seconds(30))
     late = deployment.users.submit(9, threads=2, run_s=2.0)
     deployment.users.poll_until_over(late)
@@ -79,13 +80,14 @@
 
 
 GUARANTEED = {"name": "red", "cpus": 8.0, "cpus_max": 24.0}
-GUEST = {"name": "red", "cpus": 0.0, "cpus_max": 24.0}
+UNGUARANTEED = {"name": "red", "cpus": 0.0, "cpus_max": 24.0}
 
 
-@pytest.mark.parametrize("team", [GUARANTEED, GUEST], ids=["guaranteed", "guest"])
+@pytest.mark.parametrize("team", [GUARANTEED, UNGUARANTEED], ids=["guaranteed", "unguaranteed"])
 def test_work_starts_though_no_spot_machine_is_to_be_had(team):
-    """Ordinary machines were there, but were rented only after ten minutes, longer than a day lasts, and for
-    a guest's work never."""
+    """While no spot machine is available, on-demand machines must be provisioned within `STARTS_WITHIN`, also
+    for a team without guaranteed CPUs. Waiting ten minutes for spot machines, or without limit for such a
+    team, would leave the work undone although on-demand machines are available."""
     deployment = SimulatedDeployment(32, config=DeploymentConfig(teams=(team,)))
     deployment.cloud.spot_exhausted = True
     deployment.run(seconds(2))
@@ -131,23 +133,23 @@
         assert deployment.executions.started
 
 
-@pytest.mark.parametrize("loop", ["recorder", "renting", "list of machines", "planning"])
+@pytest.mark.parametrize("loop", ["record writer", "scale-out", "machine list", "planning"])
 def test_a_leader_one_of_whose_loops_always_fails_hands_over_to_a_peer(loop, monkeypatch):
-    """What breaks in one process need not break in the next."""
+    """A leader whose loop fails in every pass must step down: the loop may work in another process."""
     owner, name = LOOPS[loop]
     method = getattr(owner, name)
     deployment = SimulatedDeployment(34)
     deployment.expected_errors = ("loop failed",)
     deployment.run(seconds(5))
-    stuck = deployment.leading_controller().leader
+    failing_leader = deployment.leading_controller().leader
 
-    def breaks_here(self, *args, **kwargs):
-        autoscaler = stuck.running.autoscaler
-        if self in (stuck.cluster, autoscaler._scale_out, autoscaler._machine_list):
-            raise Broken
+    def fails_in_failing_leader(self, *args, **kwargs):
+        autoscaler = failing_leader.running.autoscaler
+        if self in (failing_leader.cluster, autoscaler._scale_out, autoscaler._machine_list):
+            raise InjectedError
         return method(self, *args, **kwargs)
 
-    monkeypatch.setattr(owner, name, breaks_here)
+    monkeypatch.setattr(owner, name, fails_in_failing_leader)
     job = deployment.users.submit(1, threads=2, run_s=2.0)
     deployment.users.poll_until_over(job)
     deployment.run(seconds(60))
@@ -155,17 +157,17 @@
 
 
 def test_leaders_that_all_fail_hand_over_less_and_less_often(monkeypatch):
-    """Each of the three makes way once, then after 60 s, 120 s and 240 s more."""
-    monkeypatch.setattr(ClusterState, "snapshot", breaks_always)
+    """Each of the three controllers steps down once at first, and then after 60, 120 and 240 more seconds."""
+    monkeypatch.setattr(ClusterState, "snapshot", fails_always)
     deployment = SimulatedDeployment(35)
     deployment.expected_errors = ("loop failed",)
     deployment.run(seconds(400))
     assert 3 < deployment.counts["leaders"] <= 1 + 3 * 4
 
 
-def breaks_always(*args: Any) -> Any:
-    """Raises whatever it is given."""
-    raise Broken
+def fails_always(*args: Any) -> Any:
+    """Fails in every call, whatever the arguments."""
+    raise InjectedError
 
 
 def test_the_log_says_why_nothing_starts_but_not_all_the_time(caplog):
@@ -180,25 +182,25 @@
     assert "pools_backed_off=" in lines[0] and "leadership_proven=True" in lines[0]
 
 
-def test_a_leader_that_cannot_read_the_records_makes_way(monkeypatch):
-    """It kept its lease and read in vain, and no peer could lead."""
+def test_a_leader_that_cannot_read_the_records_steps_down(monkeypatch):
+    """The leader must not keep its lease while all its reads of the records fail: no peer could lead then."""
     deployment = SimulatedDeployment(37)
     read_all = StateClient.read_all
-    first = []
+    first_client = []
 
     async def fails_for_the_first(self, prefix):
         leading = [
             controller for controller in deployment.controllers.values() if controller.leader is not None
         ]
-        if leading and not first:
-            first.append(leading[0].client)
-        if first and self is first[0]:
-            raise NotAppliedError("not for this node")
+        if leading and not first_client:
+            first_client.append(leading[0].client)
+        if first_client and self is first_client[0]:
+            raise NotAppliedError("reads of this controller fail")
         return await read_all(self, prefix)
 
     monkeypatch.setattr(StateClient, "read_all", fails_for_the_first)
     deployment.expected_errors = ("",)
     deployment.fault_window.extend(seconds(45))
     deployment.run(seconds(60))
-    assert first and deployment.leader() is not None
-    assert deployment.leading_controller().client is not first[0]
+    assert first_client and deployment.leader() is not None
+    assert deployment.leading_controller().client is not first_client[0]
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -1,6 +1,6 @@
-"""A controller is silent for more than a minute while users and workers go on.
+"""Tests with a controller that sends and receives nothing for more than a minute.
 
-Requests to it are bounded, the other controllers serve, and its return changes nothing by itself.
+Requests to it must be bounded, the other controllers must serve, and its return must not change the leader.
 """
 
 import pytest
@@ -15,12 +15,12 @@
 
 SILENCE = seconds(70)
 HEARTBEAT_INTERVAL = seconds(LeadershipSettings().ping_s)
-# A connection without messages counts as up for two seconds; this leaves some room.
+# A connection without messages counts as up for two seconds; half a second is added as tolerance.
 DETECTION_LIMIT = seconds(2.5)
 
 
 def leader_terms(deployment):
-    """The term of each controller that leads, by the controller's name."""
+    """The terms of all controllers that lead, by the controller's name."""
     return {
         name: controller.leader.term
         for name, controller in deployment.controllers.items()
@@ -51,27 +51,28 @@
         job in deployment.jobs.accepted and job in deployment.executions.began_at for job in early
     )
     deployment.run(SILENCE - seconds(40) - seconds(1))
-    # Once its silence is detected it is sent nothing but the heartbeats of one connection after the other.
+    # Once the silence is detected, peers send that controller only heartbeats, on one connection at a time.
     workers = sum(not worker.terminated for worker in deployment.workers.values())
     for (sender, kind), times in deployment.network.sent_to_silent.items():
         late = [at for at in times if at > silent_since + DETECTION_LIMIT]
         allowed = SILENCE / HEARTBEAT_INTERVAL if kind is PeerHeartbeat else 0
         assert len(late) <= allowed, (sender, kind, late)
-        # Until then a controller relays heartbeats as they come; each worker has one under way at a time.
+        # Until then controllers relay workers' heartbeats to it, one at a time for each worker.
         assert len(times) - len(late) <= workers * DETECTION_LIMIT.total_seconds() * 2
     terms = leader_terms(deployment)
-    others = {name: term for name, term in terms.items() if name != deployment.controller_names[silent]}
-    assert len(others) == 1
+    other_terms = {name: term for name, term in terms.items() if name != deployment.controller_names[silent]}
+    assert len(other_terms) == 1
     deployment.run(seconds(10))
-    # Its return changes nothing by itself: the same controller leads in the same term.
-    assert leader_terms(deployment) == others
+    # After the return of the silent controller the same controller leads in the same term.
+    assert leader_terms(deployment) == other_terms
     settle(deployment, 120.0)
     assert all(deployment.jobs.observed_states[job] == "done" for job in long_jobs)
 
 
 def test_a_request_is_forwarded_to_the_peer_with_the_latest_message_first():
-    """A connection to a peer that has just fallen silent counts as up for two seconds more, and a request
-    forwarded over it would wait for a second before the next peer is tried."""
+    """A connection to a peer that has just become silent counts as up for two more seconds. A request
+    forwarded over it would wait for a second before the next peer is tried, so the other peer must come
+    first."""
     deployment = SimulatedDeployment(310)
     deployment.run(seconds(4))
     refused = deployment.controllers[deployment.controller_names[(deployment.leader() + 1) % 3]]
