--- a/tests/test_both_versions.py
+++ b/tests/test_both_versions.py
@@ -1,5 +1,8 @@
-"""Controllers of the version in production and of this one, serving side by side on one store, with the same
-machines and users. SimulatedDeployment.run checks every rule at each moment, whichever version leads."""
+"""Tests of controllers of the version in production and of the current version that share a store.
+
+Both versions serve the same machines and users. SimulatedDeployment.run checks every invariant throughout the
+run, whichever version leads.
+"""
 
 import pytest
 from hypothesis import given, settings
@@ -15,19 +18,20 @@
 from tests.waiting import settle
 
 pytestmark = pytest.mark.skipif(
-    not has_history(), reason="not a checkout: production is in the history alone"
+    not has_history(), reason="not a git checkout: the version in production is only in its history"
 )
 
 TEAMS = tuple({"name": name, "cpus": 60.0, "cpus_max": 120.0} for name in ("red", "blue"))
 NEXT_LIMITS = {"value_kb": 2.0, "txn_ops": 4, "rps": 150.0, "write_rps": 40.0}
 CONFIG = DeploymentConfig(capacity=14, machine_cpus=16.0, teams=TEAMS, next_limits=NEXT_LIMITS)
-# Tasks of an array whose chunk, as production sizes it, is larger than the next limit on values.
-LARGE = 150
+# An array of so many tasks has one chunk in production, larger than the next limit on values.
+LARGE_ARRAY_TASKS = 150
 ALL_CONTROLLERS = (0, 1, 2)
 
 
 def begin_day(seed, old=ALL_CONTROLLERS, **named):
-    """Those controllers run production, the others this version; work is under way."""
+    """Returns a deployment with work under way. The controllers with the indexes in `old` run the version in
+    production, the others the current version."""
 
     def begin(deployment):
         for index in ALL_CONTROLLERS:
@@ -39,12 +43,13 @@
     StoredTasks(deployment)
     Attempts(deployment)
     deployment.run(seconds(3))
-    deployment.users.submit_and_poll(1, threads=LARGE, vcpus=1.0, mem_gb=0.1, run_s=12.0)
+    deployment.users.submit_and_poll(1, threads=LARGE_ARRAY_TASKS, vcpus=1.0, mem_gb=0.1, run_s=12.0)
     return deployment
 
 
 def stream(deployment, count, every, first=100):
-    """Arrays of all priorities from both teams; users cancel some of them while they run."""
+    """Schedules the submission of `count` arrays of all priorities from both teams, one every `every`
+    seconds. Users cancel some of them while they run."""
 
     def submit(number):
         rng = deployment.rng
@@ -67,7 +72,7 @@
 
 
 def upgrade(deployment, index, away=1.5):
-    """Ends the process; its successor runs this version."""
+    """Ends a controller and starts its successor of the current version `away` seconds later."""
     deployment.fault_window.extend(seconds(away))
     deployment.processes.kill(index)
     deployment.endpoints.versions.pop(deployment.controller_names[index], None)
@@ -75,14 +80,14 @@
 
 
 def old_controllers(deployment):
-    """The controllers that run production, by their numbers."""
+    """The indexes of the controllers that run the version in production."""
     return [
         at for at, name in enumerate(deployment.controller_names) if name in deployment.endpoints.versions
     ]
 
 
 def leading_version(deployment):
-    """`production` or `current`, by who leads; None: nobody does."""
+    """The version of the controller that leads, `production` or `current`; None if no controller leads."""
     leader = deployment.leader()
     if leader is None:
         return None
@@ -94,7 +99,9 @@
 
 
 def finish_day(deployment):
-    """This version runs everywhere: pipelines begin, some after jobs of production, and the limits fall."""
+    """Completes a run in which all controllers run the current version. Submits pipelines and a job that
+    depends on one accepted by production, lowers the limits of the state service, and waits until every job
+    is over."""
     assert not old_controllers(deployment)
     pipelines = Pipelines(deployment, 5000)
     for shape in (chain(4, late=True), diamond(), fan_in(4)):
@@ -116,7 +123,7 @@
     stream(deployment, 36, 0.5)
     for number, index in enumerate(order):
         deployment.clock.later(seconds(4 + 4 * number), upgrade, deployment, index)
-    # A process that dies before its turn comes back as it was.
+    # A process that fails before its upgrade is restarted with its old version.
     deployment.clock.later(seconds(5), deployment.faults.restart, order[2], seconds(0.5))
     deployment.fault_window.extend(seconds(16))
     deployment.run(seconds(18))
@@ -125,8 +132,8 @@
 
 
 def hand_over(deployment):
-    """All processes of the version that leads end for a while and come back as they were; one of the other
-    version leads meanwhile."""
+    """Restarts all controllers of the version that leads, each with its version unchanged, and runs until a
+    controller of the other version leads."""
     leading = leading_version(deployment)
     old = set(old_controllers(deployment))
     for index in old if leading == "production" else set(ALL_CONTROLLERS) - old:
@@ -135,17 +142,18 @@
         deployment.run(seconds(0.1))
         if leading_version(deployment) not in (None, leading):
             return
-    raise AssertionError(f"nobody took over from {leading}")
+    raise AssertionError(f"no controller took over from the version that led: {leading}")
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_each_version_takes_over_from_the_other(seed):
-    """In turn, with work under way, while one, and then two, of the three controllers run this version."""
+    """The versions take over from each other in turn while work is under way, first with one and then with
+    two of the three controllers running the current version."""
     deployment = begin_day(910 + seed)
     stream(deployment, 90, 0.5)
-    # Some of its tasks run at every handover.
-    lasts = [4.0 + 3 * index for index in range(40)]
-    deployment.users.submit_and_poll(2, crew="blue", threads=40, vcpus=1.0, mem_gb=0.1, run_s=lasts)
+    # The run times differ, so that some tasks of this array run at every handover.
+    run_times_s = [4.0 + 3 * index for index in range(40)]
+    deployment.users.submit_and_poll(2, crew="blue", threads=40, vcpus=1.0, mem_gb=0.1, run_s=run_times_s)
     deployment.run(seconds(12))
     for number in range(2):
         upgrade(deployment, (seed + number) % 3)
@@ -161,11 +169,11 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-@pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
-def test_transactions_without_an_answer_between_the_versions(seed, which):
+@pytest.mark.parametrize("fault", ["late_writes", "lost_answers"])
+def test_transactions_without_an_answer_between_the_versions(seed, fault):
     deployment = begin_day(920 + seed)
     stream(deployment, 40, 0.5)
-    deployment.faults.during(seconds(22), which, 0.25)
+    deployment.faults.during(seconds(22), fault, 0.25)
     for number in range(3):
         deployment.clock.later(seconds(3 + 5 * number), upgrade, deployment, (seed + number) % 3)
         deployment.clock.later(
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,8 @@
-"""The state service lowers its limits amid the load, while chunks that production recorded are over them."""
+"""Tests with limits of the state service that are lowered under load.
+
+The deployment continues from a recorded state of the version in production, whose chunks exceed the
+new limits.
+"""
 
 from dataclasses import replace
 
@@ -14,13 +18,14 @@
 from tests.stored_tasks import PARTS, Attempts, StoredTasks
 from tests.waiting import settle
 
-# Values, transactions and rates as they may be from some moment on.
-NEXT = {"value_kb": 2.0, "txn_ops": 4, "rps": 150.0, "write_rps": 40.0}
-ANNOUNCED = replace(RECORDED, next_limits=NEXT)
+# The limits on values, transactions and request rates that the state service announces and later applies.
+NEXT_LIMITS = {"value_kb": 2.0, "txn_ops": 4, "rps": 150.0, "write_rps": 40.0}
+ANNOUNCED = replace(RECORDED, next_limits=NEXT_LIMITS)
 
 
 def begin_day(seed):
-    """Production's day goes on with this version, which is told of the next limits; new arrays come in."""
+    """Returns a deployment of the current version that continues from the recorded state and knows the
+    announced limits. Users submit further arrays."""
     deployment = recorded_deployment(seed, ANNOUNCED, controllers=(0, 1, 2))
     StoredTasks(deployment)
     Attempts(deployment)
@@ -36,14 +41,14 @@
     deployment.users.submit_and_poll(number, **array)
 
 
-def lower(deployment, at):
-    deployment.fault_window.extend(seconds(at + 5))
-    deployment.clock.later(seconds(at), lambda: deployment.state.lower_limits(**NEXT))
+def lower_limits_after(deployment, delay_s):
+    deployment.fault_window.extend(seconds(delay_s + 5))
+    deployment.clock.later(seconds(delay_s), lambda: deployment.state.lower_limits(**NEXT_LIMITS))
 
 
 def settle_day(deployment):
     settle(deployment, 150.0, after_troubles=True)
-    # A transaction that was too large is never sent again unchanged.
+    # A transaction that was rejected for its size must not be sent again unchanged.
     refused = deployment.state.rejected_for_size
     assert len(set(refused)) == len(refused)
 
@@ -52,12 +57,13 @@
     return max(len(encode(value)) for value, _, _ in deployment.state.keys.values())
 
 
-@pytest.mark.parametrize("after", [0.1, 1.0, 4.0, 9.0])
-def test_limits_that_fall_amid_load_lose_nothing(after):
-    """Before anybody leads, as a leader reads, and while it has rewritten some chunks already."""
+@pytest.mark.parametrize("delay_s", [0.1, 1.0, 4.0, 9.0])
+def test_limits_that_fall_amid_load_lose_nothing(delay_s):
+    """The limits fall before a leader is elected, while it reads the records, or after it has rewritten some
+    chunks."""
     deployment = begin_day(600)
-    lower(deployment, after)
-    assert largest_value(deployment) > NEXT["value_kb"] * 1024
+    lower_limits_after(deployment, delay_s)
+    assert largest_value(deployment) > NEXT_LIMITS["value_kb"] * 1024
     deployment.run(seconds(30))
     assert deployment.counts["parts written"] > 3
     settle_day(deployment)
@@ -70,7 +76,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_leaders_change_while_chunks_are_moved(seed):
     deployment = begin_day(610 + seed)
-    lower(deployment, 3.0)
+    lower_limits_after(deployment, 3.0)
     deployment.clock.later(seconds(2.5), deployment.faults.change_leaders, 8, seconds(16))
     deployment.run(seconds(30))
     assert deployment.counts["leaders"] > 3
@@ -78,11 +84,11 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
-def test_transactions_without_an_answer_while_chunks_are_moved(seed, which):
+@pytest.mark.parametrize("fault", ["late_writes", "lost_answers"])
+def test_transactions_without_an_answer_while_chunks_are_moved(seed, fault):
     deployment = begin_day(620 + seed)
-    lower(deployment, 3.0)
-    deployment.faults.during(seconds(15), which, 0.3)
+    lower_limits_after(deployment, 3.0)
+    deployment.faults.during(seconds(15), fault, 0.3)
     for at in (5, 9):
         deployment.clock.later(
             seconds(at),
@@ -97,7 +103,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_an_outage_and_a_restart_of_all_while_chunks_are_moved(seed):
     deployment = begin_day(630 + seed)
-    lower(deployment, 3.0)
+    lower_limits_after(deployment, 3.0)
     deployment.clock.later(seconds(4), deployment.faults.outage, seconds(3))
     for index in range(3):
         deployment.clock.later(
@@ -111,7 +117,7 @@
 @given(st.integers(0, 1 << 30), FAULTS, st.floats(0.1, 15))
 def test_limits_that_fall_whatever_else_fails(seed, faults, after):
     deployment = begin_day(seed)
-    lower(deployment, after)
+    lower_limits_after(deployment, after)
     for kind, at, length, hold, pick in faults:
         deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
     deployment.run(seconds(24))
@@ -121,7 +127,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_a_job_of_production_is_cancelled_while_its_chunk_is_moved(seed):
     deployment = begin_day(640 + seed)
-    lower(deployment, 3.0)
+    lower_limits_after(deployment, 3.0)
     deployment.clock.later(seconds(3.3 + seed / 3), deployment.users.cancel, LARGE_ARRAY)
     deployment.run(seconds(30))
     settle_day(deployment)
@@ -129,9 +135,9 @@
 
 
 def test_the_leader_keeps_its_lease_at_the_new_rates():
-    """Refusals for the rate may not starve the renewal of the lease."""
+    """Requests rejected for the rate must not prevent the leader from renewing its lease in time."""
     deployment = begin_day(650)
-    lower(deployment, 3.0)
+    lower_limits_after(deployment, 3.0)
     deployment.run(seconds(4))
     leaders = deployment.counts["leaders"]
     deployment.run(seconds(30))
@@ -140,26 +146,27 @@
 
 
 def test_new_values_keep_to_the_next_limits_from_the_start():
-    """Nothing new is written over them even before they hold."""
+    """Before the announced limits apply, no new key may be written with a value that exceeds them."""
     deployment = begin_day(660)
-    before = set(deployment.state.keys)
-    largest = []
+    old_keys = set(deployment.state.keys)
+    sizes = []
     write = deployment.state._write
 
-    def note(writes):
-        largest.extend(len(encode(one["v"])) for one in writes if "set" in one and one["set"] not in before)
+    def record_sizes(writes):
+        sizes.extend(len(encode(one["v"])) for one in writes if "set" in one and one["set"] not in old_keys)
         write(writes)
 
-    deployment.state._write = note
+    deployment.state._write = record_sizes
     deployment.users.submit_and_poll(720, threads=120, vcpus=1.0, mem_gb=0.1, run_s=3.0)
     deployment.run(seconds(25))
-    assert max(largest) <= NEXT["value_kb"] * 1024
+    assert max(sizes) <= NEXT_LIMITS["value_kb"] * 1024
     settle_day(deployment)
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_production_can_read_all_until_the_limits_fall(seed):
-    """A process that dies before its turn comes back old, while the next limits are announced already."""
+    """During a rolling upgrade a controller that fails before its turn restarts with production's version,
+    when the next limits are announced already. Until the limits fall it must be able to read all records."""
     deployment = begin_day(680 + seed)
     deployment.faults.change_leaders(3, seconds(12))
     for _ in range(30):
@@ -169,12 +176,12 @@
             if key.startswith((JOBS, TASKS, HISTORY, VOUCHED)):
                 decode_record(key, encode(value))
             if key.startswith(TASKS):
-                assert_speaks_for_its_tasks(deployment, key, value)
+                assert_chunk_holds_only_its_tasks(deployment, key, value)
     settle_day(deployment)
 
 
-def assert_speaks_for_its_tasks(deployment, key, value):
-    """Production goes by the record's chunk size to find a task's chunk."""
+def assert_chunk_holds_only_its_tasks(deployment, key, value):
+    """Asserts that all tasks of a chunk belong there: production finds them by the job's chunk size."""
     job, number = split_chunk_key(key)
     size = deployment.state.keys[JOBS + job][0]["chunk"]
     chunk = decode_record(key, encode(value))
@@ -184,16 +191,18 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_long_list_of_dependencies_fits_the_next_limits(seed):
-    """Needs dependencies as well."""
+    """The record of a job with 150 dependencies does not fit one value under the next limits."""
     deployment = begin_day(670 + seed)
-    lower(deployment, 12.0)
+    lower_limits_after(deployment, 12.0)
     deployment.run(seconds(2))
-    first = [deployment.users.submit(800 + number, mem_gb=0.1, threads=1, run_s=0.5) for number in range(150)]
-    for job in first:
+    dependencies = [
+        deployment.users.submit(800 + number, mem_gb=0.1, threads=1, run_s=0.5) for number in range(150)
+    ]
+    for job in dependencies:
         deployment.users.poll_until_over(job)
-    while not deployment.jobs.accepted >= set(first) and deployment.clock.now() < seconds(90):
+    while not deployment.jobs.accepted >= set(dependencies) and deployment.clock.now() < seconds(90):
         deployment.run(seconds(0.5))
     for number in (2000, 2001):
-        deployment.users.submit_and_poll(number, mem_gb=0.1, threads=1, awaits=first, crew="blue")
+        deployment.users.submit_and_poll(number, mem_gb=0.1, threads=1, awaits=dependencies, crew="blue")
         deployment.run(seconds(10))
     settle_day(deployment)
--- a/tests/test_pipelines_after_roll.py
+++ b/tests/test_pipelines_after_roll.py
@@ -1,5 +1,8 @@
-"""Pipelines that name jobs of production, once all controllers are of this version, and records of chained
-jobs that a process of production ends."""
+"""Tests of pipelines after a rolling upgrade.
+
+Pipelines depend on jobs that production accepted, and production has ended jobs whose records have
+dependencies.
+"""
 
 import pytest
 
@@ -16,8 +19,8 @@
 TEAMS = tuple({"name": name, "cpus": 40.0, "cpus_max": 80.0} for name in ("red", "blue"))
 
 
-def rolled_deployment(seed):
-    """All three are of this version, and production's day goes on."""
+def upgraded_deployment(seed):
+    """Returns a deployment of the current version that continues from the recorded state."""
     deployment = recorded_deployment(seed, controllers=(0, 1, 2))
     StoredTasks(deployment)
     Attempts(deployment)
@@ -37,7 +40,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_jobs_may_name_what_production_accepted_in_any_state(seed):
-    deployment = rolled_deployment(700 + seed)
+    deployment = upgraded_deployment(700 + seed)
     done, aborted, running = (recorded_job(deployment, stage) for stage in ("done", "aborted", "running"))
     after_done = deployment.users.submit(801, awaits=[done], **SMALL)
     after_aborted = deployment.users.submit(802, awaits=[done, aborted], **SMALL)
@@ -62,7 +65,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_running_job_of_production_is_cancelled_with_all_after_it(seed):
-    deployment = rolled_deployment(710 + seed)
+    deployment = upgraded_deployment(710 + seed)
     job = deployment.users.submit(801, awaits=[LARGE_ARRAY], **SMALL)
     deployment.users.poll_until_over(job)
     deployment.run(seconds(2))
@@ -74,7 +77,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_pipelines_while_all_controllers_restart_in_turn_after_the_roll(seed):
-    deployment = rolled_deployment(720 + seed)
+    deployment = upgraded_deployment(720 + seed)
     pipelines = Pipelines(deployment)
     for shape in (chain(4, late=True), diamond(), fan_out(3)):
         pipelines.begin(shape, **SMALL)
@@ -87,7 +90,8 @@
 @pytest.mark.parametrize("place", range(3))
 @pytest.mark.parametrize("stage", ["done", "aborted"])
 def test_a_chained_job_that_production_ended_counts_as_ended(stage, place):
-    """Its record lacks the dependencies from then on; what comes after it goes on, or is aborted."""
+    """Production drops the dependencies from the record of a job that it ends. The descendants must still
+    start or be aborted."""
     deployment = SimulatedDeployment(730 + place, config=DeploymentConfig(capacity=8, teams=TEAMS))
     deployment.run(seconds(3))
     pipelines = Pipelines(deployment)
@@ -100,7 +104,9 @@
     else:
         while not deployment.executions.is_complete(job):
             deployment.run(seconds(0.01), seconds(0.01))
-        assert deployment.state.keys[f"sg/job/{job}"][0]["stage"] == "open", "the leader was faster"
+        assert deployment.state.keys[f"sg/job/{job}"][0]["stage"] == "open", (
+            "the leader recorded the end before production did"
+        )
     ProductionWriter(deployment).end_job(job, stage)
     assert "dependencies" not in str(deployment.state.keys[f"sg/job/{job}"][0])
     pipelines.settle()
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -1,4 +1,4 @@
-"""Records and messages of the version in production, on the bytes that it wrote."""
+"""Tests of compatibility with the version in production, on recorded bytes of its records and messages."""
 
 import msgspec
 import pytest
@@ -37,7 +37,7 @@
 }
 
 
-# The present messages between controllers, and what production calls them.
+# The current types of the messages between controllers, and production's names for them.
 PRODUCTION_MESSAGES = {
     peer_messages.PeerHeartbeat: "Ping",
     peer_messages.HeartbeatRelayRequest: "Relay",
@@ -48,14 +48,14 @@
 
 
 def assert_same_message(message, old):
-    """A present message says what production's says: its kind, and the same values in the same places."""
+    """Asserts that a current message has the kind and, position by position, the values of production's."""
     assert PRODUCTION_MESSAGES[type(message)] == type(old).__name__
     values = msgspec.structs.astuple(old)
     assert msgspec.structs.astuple(message)[: len(values)] == values
 
 
 def recorded_jobs(stage=None):
-    """The recorded jobs by id, or those of one stage."""
+    """The recorded jobs by id; all of them, or those of the given stage."""
     found = {entry.key: production.decode_record(entry.key, entry.value) for entry in STORE.under("sg/job/")}
     return {job.spec.id: job for job in found.values() if stage in (None, job.stage)}
 
@@ -67,7 +67,7 @@
     }
 
 
-# What production wrote, by its layouts: they are pinned by the bytes alone.
+# The copies of production's layouts in tests/production.py fit the recorded bytes, which alone pin them.
 
 
 @pytest.mark.parametrize("entry", STORE.entries, ids=lambda entry: entry.key)
@@ -103,7 +103,7 @@
 
 
 def layout(kind):
-    """What a layout accepts, without the words that describe it."""
+    """The JSON schema of a layout without its descriptions."""
 
     def without_descriptions(schema):
         if isinstance(schema, dict):
@@ -115,7 +115,9 @@
     return without_descriptions(msgspec.json.schema(kind))
 
 
-@pytest.mark.skipif(not has_history(), reason="not a checkout: production is in the history alone")
+@pytest.mark.skipif(
+    not has_history(), reason="not a git checkout: the version in production is only in its history"
+)
 @pytest.mark.parametrize(
     ("module", "name"),
     [
@@ -129,12 +131,13 @@
     ],
 )
 def test_the_layouts_are_those_of_the_commit_in_production(module, name):
-    """The recording was made by an earlier commit than the one that deploy/service.toml names."""
+    """The recording was made by an earlier commit than the one in production, named by
+    deploy/service.toml."""
     original = getattr(versions.production().module(module), name)
     assert layout(getattr(production, name)) == layout(original)
 
 
-# The code as it stands reads them.
+# The current version reads the recorded records and messages.
 
 
 @pytest.mark.parametrize("entry", STORE.entries, ids=lambda entry: entry.key)
@@ -142,16 +145,16 @@
     layout = next(layout for prefix, layout in CURRENT_TYPES.items() if entry.key.startswith(prefix))
     record = msgspec.json.decode(entry.value, type=layout)
     old = production.decode_record(entry.key, entry.value)
-    # All that production knew stands there, with the same meaning.
-    assert says_all_of(msgspec.to_builtins(record), msgspec.to_builtins(old))
+    # The current record holds all values of the old one.
+    assert has_all_values_of(msgspec.to_builtins(record), msgspec.to_builtins(old))
 
 
-def says_all_of(record, old):
-    """Whether a record says all that production's record says; it may say more."""
+def has_all_values_of(record, old):
+    """Whether a record holds all values of production's record; it may hold additional fields."""
     if isinstance(old, dict):
-        return all(name in record and says_all_of(record[name], old[name]) for name in old)
+        return all(name in record and has_all_values_of(record[name], old[name]) for name in old)
     if isinstance(old, list):
-        return len(record) == len(old) and all(map(says_all_of, record, old))
+        return len(record) == len(old) and all(map(has_all_values_of, record, old))
     return record == old
 
 
@@ -164,18 +167,18 @@
 
 
 def leader_of(deployment):
-    """Runs until a leader has read everything, and gives it."""
+    """Runs until a leader has read all records, and returns this leader."""
     for _ in range(400):
         if deployment.leader() is not None:
             return deployment.leading_controller().leader
         deployment.run(seconds(0.05))
-    raise AssertionError("nobody leads")
+    raise AssertionError("no controller leads after 20 s")
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_leader_takes_over_every_placement_attempt_number_and_done(seed):
     deployment = recorded_deployment(seed, controllers=(1,))
-    # Nothing of the machines comes through before the leader is looked at.
+    # No message of a machine reaches the leader before its state is compared with the records.
     machines = [worker.machine.address for worker in deployment.workers.values()]
     deployment.network.cut(deployment.controller_names[1], machines, False, seconds(3))
     jobs = leader_of(deployment).cluster.jobs
@@ -195,7 +198,7 @@
         assert jobs[job].done == sum(last - first + 1 for first, last in chunk.done)
         if job in open_jobs:
             assert not jobs[job].cancelled
-    # Those that are over are not started again.
+    # The leader does not load jobs that are done, and considers the aborted ones cancelled.
     assert not recorded_jobs("done").keys() & jobs.keys()
     assert all(jobs[job].cancelled for job in recorded_jobs("aborted") if job in jobs)
 
@@ -214,11 +217,11 @@
         assert status == 200, at
 
 
-# Production reads what the code as it stands writes, while the limits have not fallen.
+# Production reads what the current version writes, as long as the limits have not been lowered.
 
 
-class NotingNetwork(SimulatedNetwork):
-    """Keeps the peer messages that were sent, as bytes, and the values that were written to each key."""
+class RecordingNetwork(SimulatedNetwork):
+    """Records the peer messages with their encoded bytes, and the values that are written to each key."""
 
     def __init__(self, *args, **named):
         self.sent_messages = []
@@ -236,17 +239,19 @@
         return super().serve(source, target, method, path, body)
 
 
-class NotingDeployment(SimulatedDeployment):
-    """A deployment whose network notes what is sent."""
+class RecordingDeployment(SimulatedDeployment):
+    """A deployment with a `RecordingNetwork`."""
 
-    network_type = NotingNetwork
+    network_type = RecordingNetwork
 
 
-def day_of_this_version():
-    deployment = NotingDeployment(5, error=0.1, config=RECORDED)
+def run_current_version():
+    """Runs the current version with an array, small jobs and, for a while, a store that refuses a
+    follower."""
+    deployment = RecordingDeployment(5, error=0.1, config=RECORDED)
     deployment.run(seconds(3))
-    lasts = [1.0 + index % 20 for index in range(250)]
-    deployment.users.submit(1, threads=250, vcpus=1.0, mem_gb=0.1, run_s=lasts)
+    run_times_s = [1.0 + index % 20 for index in range(250)]
+    deployment.users.submit(1, threads=250, vcpus=1.0, mem_gb=0.1, run_s=run_times_s)
     for number in range(2, 12):
         deployment.clock.later(
             seconds(number), lambda n=number: deployment.users.submit(n, crew="blue", mem_gb=0.1)
@@ -259,18 +264,18 @@
     return deployment
 
 
-DAY = []
+COMPLETED_RUNS = []
 
 
-def the_day():
-    """One day for the tests of this module: it is only looked at."""
-    if not DAY:
-        DAY.append(day_of_this_version())
-    return DAY[0]
+def completed_run():
+    """The deployment of one run, shared by the tests of this module, which only inspect it."""
+    if not COMPLETED_RUNS:
+        COMPLETED_RUNS.append(run_current_version())
+    return COMPLETED_RUNS[0]
 
 
 def test_what_is_written_is_read_by_production():
-    written = the_day().network.written
+    written = completed_run().network.written
     for prefix in (production.JOBS, production.TASKS, production.HISTORY, production.TYPES):
         assert any(key.startswith(prefix) for key, _ in written), prefix
     for key, value in written:
@@ -279,19 +284,19 @@
 
 
 def test_job_records_mean_the_same_to_production():
-    deployment = the_day()
+    deployment = completed_run()
     for key, value in deployment.network.written:
         if key.startswith(production.JOBS):
             record = production.decode_record(key, msgspec.json.encode(value))
             job = deployment.jobs.descriptions[record.spec.id]
             assert production.job_key(job["ref"]) == key
-            told = msgspec.json.decode(msgspec.json.encode(record.spec))
-            assert told == {name: value for name, value in job.items() if name in told}
+            spec = msgspec.json.decode(msgspec.json.encode(record.spec))
+            assert spec == {name: value for name, value in job.items() if name in spec}
             assert record.chunk == 254 and record.accepted is not None
 
 
 def test_chunks_stand_where_production_looks_for_them():
-    deployment = the_day()
+    deployment = completed_run()
     for key, value in deployment.network.written:
         if key.startswith(production.TASKS):
             job, number = production.split_chunk_key(key)
@@ -307,7 +312,7 @@
 
 
 def test_peer_messages_mean_the_same_to_production():
-    sent = the_day().network.sent_messages
+    sent = completed_run().network.sent_messages
     assert {PRODUCTION_MESSAGES[type(message)] for message, _ in sent} >= {"Ping", "Relay", "Relayed"}
     for message, data in sent:
         assert_same_message(message, production.decode_message(data))
@@ -318,15 +323,15 @@
 
 @pytest.mark.parametrize("stage", ["done", "aborted"])
 def test_a_job_that_production_ended_is_over_at_every_controller(stage):
-    """Production drops the fields that it does not know when it ends a job."""
+    """When production ends a job it drops the fields of the record that it does not know."""
     deployment = recorded_deployment(3, controllers=(0, 1, 2))
     deployment.run(seconds(4))
     body = production_job(deployment, 501)
     key = production.job_key(body["ref"])
     value, mark, lease = deployment.state.keys[key]
-    # A later version's record may say more, in the record and in its description.
-    more = value | {"later": [1], "spec": value["spec"] | {"awaits": ["job-000001"], "later": 1}}
-    deployment.state._write([{"set": key, "v": more}])
+    # The record of a later version may have additional fields, also in the job's description.
+    extended = value | {"later": [1], "spec": value["spec"] | {"awaits": ["job-000001"], "later": 1}}
+    deployment.state._write([{"set": key, "v": extended}])
     deployment.run(seconds(1))
     deployment.jobs.cancel_requested.add(body["ref"])
     ProductionWriter(deployment).end_job(body["ref"], stage)
@@ -339,7 +344,7 @@
 
 
 def production_job(deployment, number):
-    """A job that production accepts; no task of it starts, as it asks for a zone that there is not."""
+    """A job accepted by production. Its task cannot start, because it requires a zone that does not exist."""
     body = description(f"job-{number:06d}", {"vcpus": 16.0, "mem_gb": 32.0, "threads": 1, "glade": "none"})
     deployment.jobs.descriptions[body["ref"]] = body
     ProductionWriter(deployment).accept(body, 254, deployment.clock.utc())
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -1,4 +1,8 @@
-"""The upgrade under load: a day that production began, and whose controllers come back as this version."""
+"""Tests of a rolling upgrade under load.
+
+The deployment continues from a recorded state of the version in production. Its controllers are replaced one
+by one by controllers of the current version.
+"""
 
 import pytest
 
@@ -11,13 +15,14 @@
 from tests.stored_tasks import Attempts, StoredTasks
 from tests.waiting import settle
 
-# The controller that leads at the recorded moment.
+# The index of the controller that leads in the recorded state.
 OLD_LEADER = 1
-ACCEPTED_BY_PRODUCTION = 600
+# The lowest number of the jobs that production accepts during the upgrade.
+FIRST_ACCEPTED_BY_PRODUCTION = 600
 
 
 def begin_upgrade(seed):
-    """Production leads, and its other two processes are replaced one after the other."""
+    """Starts the upgrade: production still leads, and its other two controllers are replaced in turn."""
     deployment = recorded_deployment(seed)
     StoredTasks(deployment)
     Attempts(deployment)
@@ -29,13 +34,13 @@
     deployment.clock.later(seconds(0.3), deployment.processes.start, (OLD_LEADER + 1) % 3)
     deployment.clock.later(seconds(3), deployment.processes.start, (OLD_LEADER + 2) % 3)
     for at in (0.5, 2, 3.2, 5):
-        deployment.clock.later(seconds(at), lead_as_production, deployment, writer)
+        deployment.clock.later(seconds(at), write_as_production, deployment, writer)
     return deployment, writer
 
 
-def lead_as_production(deployment, writer):
-    """What its leader and its users' controllers still write."""
-    number = ACCEPTED_BY_PRODUCTION + int(deployment.clock.now().total_seconds() * 10) % 100
+def write_as_production(deployment, writer):
+    """Writes two records as production still does: an accepted job, and an attempt of the large array."""
+    number = FIRST_ACCEPTED_BY_PRODUCTION + int(deployment.clock.now().total_seconds() * 10) % 100
     body = description(f"job-{number:06d}", {"threads": 2, "mem_gb": 0.1, "awaits": None, "run_s": 2.0})
     deployment.jobs.descriptions[body["ref"]] = body
     deployment.jobs.submitted_at[body["ref"]] = deployment.clock.now()
@@ -45,7 +50,7 @@
 
 
 def end_upgrade(deployment, writer):
-    """The last process of production ends; its name comes back as this version."""
+    """Ends the last process of production and starts its successor of the current version."""
     writer.end()
     deployment.processes.start(OLD_LEADER)
 
@@ -55,20 +60,22 @@
     deployment, writer = begin_upgrade(500 + seed)
     recorded = dict(deployment.jobs.observed_states)
     deployment.run(seconds(7))
-    assert deployment.leader() is None, "production still leads"
+    assert deployment.leader() is None, "production must still lead"
     end_upgrade(deployment, writer)
     deployment.run(seconds(5))
     assert deployment.leader() is not None
     with pytest.raises(ConditionFailed):
-        # Its writes fail from now on, as those of any deposed leader.
+        # The writes of production fail from now on, like those of any deposed leader.
         stale = ProductionWriter(deployment)
         stale.mod_revision = lambda key: 1
         stale.rewrite(production.chunk_key(LARGE_ARRAY, 0), lambda chunk: chunk)
     settle(deployment, 100.0)
-    assert sum(job >= f"job-{ACCEPTED_BY_PRODUCTION:06d}" for job in deployment.jobs.observed_states) == 4
+    assert (
+        sum(job >= f"job-{FIRST_ACCEPTED_BY_PRODUCTION:06d}" for job in deployment.jobs.observed_states) == 4
+    )
     for job, stage in recorded.items():
         assert deployment.jobs.observed_states[job] == (stage if stage in OVER else "done"), job
-    # What was done on record, or ran, was not run again by the new leader.
+    # The tasks that the recorded state lists as done were not run again by the new leader.
     chunk = production.decode_record("sg/task/", read_store().value(f"sg/task/{LARGE_ARRAY}/000000"))
     for first, last in chunk.done:
         for task in range(first, last + 1):
@@ -81,10 +88,11 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_placed_tasks_outlive_the_roll(seed):
-    """Machines stay with their tasks: other controllers renew their leases, and the new leader knows the
-    tasks."""
+    """Running tasks must survive the upgrade: other controllers renew the leases of their machines, and the
+    new leader reads the placements from the store."""
     deployment, writer = begin_upgrade(510 + seed)
-    # No controller without the leader renews the lease of a machine that may have tasks of a cancelled job.
+    # A controller without contact to the leader does not renew the lease of a machine that may have tasks of
+    # a cancelled job.
     cancelled = {
         placement.machine
         for entry in read_store().under(production.TASKS)
@@ -102,19 +110,19 @@
     end_upgrade(deployment, writer)
     deployment.run(seconds(30))
     assert len(running & deployment.executions.completed) > 80
-    again = {
+    restarted = {
         task: deployment.executions.start_counts[task]
         for task in running
         if deployment.executions.start_counts[task] > starts[task]
     }
-    assert not again
+    assert not restarted
 
 
 @pytest.mark.parametrize("seed", range(2))
-@pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
-def test_transactions_without_an_answer_during_the_roll(seed, which):
+@pytest.mark.parametrize("fault", ["late_writes", "lost_answers"])
+def test_transactions_without_an_answer_during_the_roll(seed, fault):
     deployment, writer = begin_upgrade(520 + seed)
-    deployment.faults.during(seconds(20), which, 0.3)
+    deployment.faults.during(seconds(20), fault, 0.3)
     deployment.run(seconds(6))
     end_upgrade(deployment, writer)
     for index in range(3):
@@ -126,7 +134,8 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_process_that_dies_before_its_turn_leaves_its_lease(seed):
-    """The old leader ends without coming back at once: a new controller leads once its lease has run out."""
+    """The old leader ends and does not come back at once. Another controller leads once the lease of the old
+    leader has expired."""
     deployment, writer = begin_upgrade(530 + seed)
     deployment.run(seconds(6))
     writer.end()
