--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""The build command of deploy/service.toml, with a stand-in for Python that is cut short at each stage."""
+"""Tests of the build command of deploy/service.toml, with a fake Python that fails at each of its stages."""
 
 import os
 import stat
@@ -10,8 +10,8 @@
 from tests.versions import ROOT
 
 BUILD = tomllib.loads((ROOT / "deploy" / "service.toml").read_text(encoding="utf-8"))["build"]
-# Takes the place of python3: notes what it is called for, installs in two steps, and ends where CUT says.
-PYTHON = """#!/bin/sh
+# A fake python3. It records each call, installs in two steps, and fails at the stage that CUT names.
+FAKE_PYTHON = """#!/bin/sh
 if [ "$1" = -m ]; then
     echo install >> calls
     mkdir -p target/deps
@@ -29,21 +29,25 @@
 
 @pytest.fixture
 def build(tmp_path):
-    """Runs the build in a fresh folder; gives its exit status and what Python was called for."""
+    """Returns a function that runs the build in an empty folder and returns its exit status and Python's
+    calls."""
     (tmp_path / "requirements.txt").write_text("some\n")
-    # Files of the same moment are not newer than one another.
+    # An old modification time, so that `.installed` is newer. Files with equal times would not count as
+    # newer.
     os.utime(tmp_path / "requirements.txt", (1_000_000, 1_000_000))
     python = tmp_path / "bin" / "python3"
     python.parent.mkdir()
-    python.write_text(PYTHON)
+    python.write_text(FAKE_PYTHON)
     python.chmod(python.stat().st_mode | stat.S_IXUSR)
 
     def run(cut=""):
         calls = tmp_path / "calls"
         calls.unlink(missing_ok=True)
         path = f"{python.parent}:{os.environ['PATH']}"
-        done = subprocess.run(["sh", "-c", BUILD], cwd=tmp_path, env={"PATH": path, "CUT": cut}, check=False)
-        return done.returncode, calls.read_text().split()
+        completed = subprocess.run(
+            ["sh", "-c", BUILD], cwd=tmp_path, env={"PATH": path, "CUT": cut}, check=False
+        )
+        return completed.returncode, calls.read_text().split()
 
     return run
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures passes over what it names and nothing else."""
+"""Tests of the list of known failures: it excuses exactly the failures that it names."""
 
 import subprocess
 import sys
@@ -32,53 +32,58 @@
 
 @pytest.fixture(params=[(), ("-n", "2")], ids=["one process", "two processes"])
 def processes(request):
-    """The arguments that say in how many processes the tests run."""
+    """The pytest arguments for the number of test processes."""
     return request.param
 
 
 def run(folder, lines, *arguments):
-    """Exit status and output of a run of `TESTS` with that list."""
+    """Runs `TESTS` with these lines in KNOWN-RED.txt; returns the exit status and the output."""
     (folder / "conftest.py").write_text(CONFTEST)
     (folder / "test_it.py").write_text(TESTS)
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
     command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *arguments]
     environment = {"PYTHONPATH": str(ROOT), "PATH": "/usr/bin:/bin"}
-    done = subprocess.run(command, cwd=folder, env=environment, capture_output=True, text=True)
-    return done.returncode, done.stdout + done.stderr
+    completed = subprocess.run(command, cwd=folder, env=environment, capture_output=True, text=True)
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def line(test):
+def entry(test):
     return f"{test} | the cause | issue 0"
 
 
 def test_listed_failures_are_passed_over_and_printed(tmp_path, processes):
-    status, output = run(tmp_path, [line(RED), line(OTHER)], *processes)
+    status, output = run(tmp_path, [entry(RED), entry(OTHER)], *processes)
     assert status == 0
     assert f"{RED}: 1 of 2 cases passed over; cause: the cause; issue: issue 0" in output
     assert f"{OTHER}: 1 of 1 cases passed over" in output
 
 
 def test_a_failure_that_is_not_listed_fails_the_run(tmp_path, processes):
-    status, output = run(tmp_path, [line(RED)], *processes)
+    status, output = run(tmp_path, [entry(RED)], *processes)
     assert status == 1
     assert f"FAILED {OTHER}" in output
 
 
 def test_a_listed_test_that_passes_fails_the_run(tmp_path, processes):
-    status, output = run(tmp_path, [line(RED), line(OTHER), line(GREEN)], *processes)
+    status, output = run(tmp_path, [entry(RED), entry(OTHER), entry(GREEN)], *processes)
     assert status == 1
     assert f"{GREEN} passes and is to be taken off the list" in output
 
 
 def test_a_listed_test_that_does_not_exist_fails_a_run_of_all(tmp_path, processes):
-    status, output = run(tmp_path, [line(RED), line(OTHER), line("test_it.py::test_gone")], *processes)
+    status, output = run(tmp_path, [entry(RED), entry(OTHER), entry("test_it.py::test_gone")], *processes)
     assert status == 1
     assert "test_it.py::test_gone does not exist" in output
 
 
 @pytest.mark.parametrize(
-    "lines", [[line(f"test_it.py::test_{at}") for at in range(4)], ["test_it.py::test_red"], [f"{RED} | | 3"]]
+    "lines",
+    [
+        [entry(f"test_it.py::test_{number}") for number in range(4)],
+        ["test_it.py::test_red"],
+        [f"{RED} | | 3"],
+    ],
 )
 def test_a_list_that_is_too_long_or_cannot_be_read_is_refused(tmp_path, processes, lines):
     status, output = run(tmp_path, lines, *processes)
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -1,11 +1,11 @@
-"""Pins the form of all that other programs and stored files see: messages, keys, settings and command line.
+"""Pins the external forms of the program: messages, keys, stored records, settings and command line.
 
-`pinned_forms.json` holds these forms as they were when it was made. It is never to be generated again: any
-difference from it is a change on the wire or on record, which other versions, users, workers, the cloud and
-the state service would notice. A deliberate change edits the one entry by hand.
+`pinned_forms.json` holds these forms and must never be generated again: any difference from it is a change on
+the wire or in stored data, which other versions, users, workers, the cloud and the state service would
+notice. A deliberate change edits a single entry by hand.
 
-Stable labels tie a pin to the Python object that has this form. Renaming Python identifiers changes the
-imports and the tables in the first part of this file, never a label, the data file or a test.
+Stable labels connect a pinned form to the Python object that has it. Renaming Python identifiers changes only
+the imports and the tables in the first part of this file, and never a label, the data file or a test.
 """
 
 import argparse
@@ -52,7 +52,7 @@
 
 
 class Form(NamedTuple):
-    """A type, and how it is encoded. What is only ever encoded may have a type that cannot be decoded."""
+    """A struct and its codec. A message that is only encoded may contain types that cannot be decoded."""
 
     type: type[msgspec.Struct]
     codec: Any = msgspec.json
@@ -123,7 +123,7 @@
 # Structs that never leave the process.
 INTERNAL: list[type[msgspec.Struct]] = [MachineShape, JobView, term.Term]
 
-PIECES = TaskRanges(100, 250, [120, 210])
+TASK_RANGES = TaskRanges(100, 250, [120, 210])
 
 KEYS: dict[str, Any] = {
     "prefix": records.PREFIX,
@@ -144,13 +144,13 @@
     "chunk key read": records.split_range_key("sg/task/job-17/000042"),
     "part key read": records.split_overflow_range_key("sg/part/job-17/000345"),
     "dependency key read": records.split_dependency_key("sg/dependencies/job-17/000006"),
-    "keys of a job with parts": PIECES.keys("job-17"),
+    "keys of a job with parts": TASK_RANGES.keys("job-17"),
     "tasks in a chunk at 1, 4 and 64 KiB": [records.tasks_per_range(size) for size in (1024, 4096, 65536)],
     "task name": workers.task_name("job-17", 42),
     "task name read": workers.split_task("job-17/42"),
 }
 
-# Messages sent as arrays have no names on the wire: which field stands where the pin has another name.
+# Messages sent as arrays have no field names on the wire. Maps a field's present name to its pinned name.
 ARRAY_FIELDS: dict[str, dict[str, str]] = {
     "records: placement": {"incarnation": "session"},
     "controllers: ping": {
@@ -170,7 +170,7 @@
 
 
 class RecordingRequester:
-    """Gives the answers in turn, and records what was requested."""
+    """Records the requests and returns the given answers one after another."""
 
     def __init__(self, answers: list[str]) -> None:
         self.answers = answers
@@ -207,10 +207,10 @@
 
 
 ONE_SECOND = timedelta(seconds=1)
-RENT = cloud.ProvisionRequest("ask-1", "small", "north", True, 4)
+PROVISION_REQUEST = cloud.ProvisionRequest("ask-1", "small", "north", True, 4)
 Call = Callable[[RecordingRequester], Awaitable[Any]]
 
-# What is requested of the state service and the cloud.
+# The calls that send requests to the state service and the cloud.
 REQUESTS: dict[str, Call] = {
     "store: read a key": lambda requester: state_client(requester).get("sg/leader"),
     "store: read all keys": lambda requester: state_client(requester).read_all("sg/"),
@@ -220,36 +220,36 @@
     "store: drop a lease": lambda requester: state_client(requester).revoke_lease(9),
     "store: watch": lambda requester: state_client(requester).watch("sg/", 17, ONE_SECOND),
     "cloud: machine types": lambda requester: cloud_client(requester).list_machine_types(),
-    "cloud: rent": lambda requester: cloud_client(requester).provision(RENT, lambda: True),
+    "cloud: rent": lambda requester: cloud_client(requester).provision(PROVISION_REQUEST, lambda: True),
     "cloud: release": lambda requester: cloud_client(requester).terminate(["n-1", "n-2"], lambda: True),
     "cloud: list machines": lambda requester: cloud_client(requester).list_machines(),
 }
 
 
-async def no_sibling(*_: Any) -> None:
-    """Nobody to pass a request to."""
+async def no_peer(*_: Any) -> None:
+    """Forwards nothing, because there is no peer."""
 
 
 def user_api() -> UserApi:
-    """An interface that knows one job, which was aborted."""
+    """An interface whose only job was cancelled."""
     client = state_client(RecordingRequester([]))
     known = views.JobViews()
     known.on_change(records.job_key("job-17"), pinned("messages", "records: job")["full"].encode(), 5)
     replica = Replica(client, ManualClock(), records.PREFIX, ONE_SECOND, ONE_SECOND)
-    return UserApi(client, replica, known, {}, lambda: None, no_sibling, ManualClock().utc)
+    return UserApi(client, replica, known, {}, lambda: None, no_peer, ManualClock().utc)
 
 
-def worker_api(lead: bool, crowded: bool = False) -> WorkerApi:
+def worker_api(lead: bool, overloaded: bool = False) -> WorkerApi:
     clock = ManualClock()
     balancer = HeartbeatBalancer(clock, ONE_SECOND, 1, ZERO)
-    if crowded:
+    if overloaded:
         balancer.rebalance(ControllerLoad("node-1", 100, False), [ControllerLoad("node-2", 0, False)])
     answer = message("workers: answer to a report", pinned("messages", "workers: answer to a report")["full"])
     return WorkerApi(
         clock,
         views.JobViews(),
         CancellationFreshness(clock, ONE_SECOND, lambda: None),
-        LeaderAccess(lambda report: answer, lambda: lead, no_sibling),
+        LeaderAccess(lambda report: answer, lambda: lead, no_peer),
         lambda token: None,
         balancer,
         IsolationDetector(clock, "north", ONE_SECOND, lambda: None),
@@ -268,16 +268,16 @@
     return worker_api(lead=False).handle(method, path, body.encode())
 
 
-def ask_crowded(method: str, path: str, body: str) -> Awaitable[HttpResponse]:
-    return worker_api(lead=True, crowded=True).handle(method, path, body.encode())
+def ask_overloaded(method: str, path: str, body: str) -> Awaitable[HttpResponse]:
+    return worker_api(lead=True, overloaded=True).handle(method, path, body.encode())
 
 
-# Who answers the pinned requests.
-ANSWERING: dict[str, Callable[[str, str, str], Awaitable[HttpResponse]]] = {
+# The handlers of the pinned requests.
+HANDLERS: dict[str, Callable[[str, str, str], Awaitable[HttpResponse]]] = {
     "users": ask_user_api,
     "workers of the leader": ask_leader,
     "workers of a follower alone": ask_follower,
-    "workers of a crowded controller": ask_crowded,
+    "workers of a crowded controller": ask_overloaded,
 }
 
 
@@ -308,7 +308,7 @@
     cli.set_up_logging(operator.OperatorSettings(), "node-1")
 
 
-# From here on nothing is named by its Python identifier in the package.
+# The code below does not use Python identifiers of the package.
 
 PINS: dict[str, dict[str, Any]] = json.loads(Path(__file__).with_name("pinned_forms.json").read_text())
 
@@ -322,14 +322,14 @@
 
 
 def encoded(label: str, value: Any) -> str:
-    """A message as it is pinned: JSON as text, msgpack in hexadecimal digits."""
+    """A message in its pinned form: JSON as text, msgpack in hexadecimal digits."""
     form = FORMS[label]
     data: bytes = form.codec.encode(value)
     return data.hex() if form.codec is msgspec.msgpack else data.decode()
 
 
 def message(label: str, text: str) -> Any:
-    """The message that a pinned text holds, made from the names on the wire alone."""
+    """Decodes a pinned text into a message, using only the names on the wire."""
     form = FORMS[label]
     if form.encode_only:
         values = msgspec.json.decode(text, type=dict[str, msgspec.Raw])
@@ -374,11 +374,11 @@
 
 
 def describe_type(info: Any) -> Any:
-    """What is accepted there, with every limit on it. Structs are told by their labels."""
+    """Describes the values that a type accepts, with all constraints. Structs appear as their labels."""
     if isinstance(info, msgspec.inspect.StructType):
         return LABELS[info.cls]
     if isinstance(info, msgspec.inspect.EnumType):
-        # An enumeration accepts its values, as the literals did that it stands for.
+        # The pins describe an enumeration as a literal type with the same values.
         return {"kind": "LiteralType", "values": sorted(member.value for member in info.cls)}
     if isinstance(info, msgspec.inspect.Type):
         parts = {name: describe_type(getattr(info, name)) for name in info.__struct_fields__}
@@ -390,7 +390,7 @@
 
 
 def describe_types(label: str) -> list[Any]:
-    """What is accepted in each field, in their order; nothing for what is never decoded."""
+    """Describes the values that each field accepts, in order; empty for a message that is never decoded."""
     if FORMS[label].encode_only:
         return []
     info = msgspec.inspect.type_info(FORMS[label].type)
@@ -421,7 +421,7 @@
 
 
 def result_of(work: Awaitable[Any]) -> Any:
-    """What a coroutine that need not wait returns."""
+    """The result of a coroutine that finishes without waiting."""
     results: list[Any] = []
     ensureDeferred(work).addBoth(results.append)
     (result,) = results
@@ -431,7 +431,7 @@
 
 
 def package_structs() -> set[type[msgspec.Struct]]:
-    """All structs that the modules of the package define, whether at their top level or not."""
+    """All structs that are defined anywhere in the modules of the package."""
     package = spindleglade.__name__ + "."
     for module in pkgutil.walk_packages(spindleglade.__path__, package):
         if not module.name.rpartition(".")[2].startswith("test_"):
@@ -454,7 +454,7 @@
 
 
 def test_all_who_answer_are_pinned() -> None:
-    assert {pin["by"] for pin in PINS["answers"].values()} == set(ANSWERING)
+    assert {pin["by"] for pin in PINS["answers"].values()} == set(HANDLERS)
 
 
 def test_every_struct_of_the_package_is_pinned_or_known_as_internal() -> None:
@@ -523,7 +523,7 @@
 @pytest.mark.parametrize("label", PINS["answers"])
 def test_answer_is_unchanged(label: str) -> None:
     pin = pinned("answers", label)
-    answer = result_of(ANSWERING[pin["by"]](*pin["request"]))
+    answer = result_of(HANDLERS[pin["by"]](*pin["request"]))
     assert [answer.status, answer.body.decode(), answer.retry_after] == pin["answer"]
 
 
--- a/tests/test_pipeline_cancellations.py
+++ b/tests/test_pipeline_cancellations.py
@@ -1,6 +1,7 @@
-"""Users cancel jobs of pipelines: all that need them are cancelled with them, everywhere and in time.
+"""Tests of cancellations in pipelines: all descendants of a cancelled job are cancelled in time.
 
-SimulatedDeployment.run checks the rules of chained jobs all the time, `settle` that all is served in the end.
+SimulatedDeployment.run checks the invariants of dependencies throughout the run; `settle` checks at the end
+that every job is over and that users are told so.
 """
 
 import msgspec
@@ -45,7 +46,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_cancelling_while_the_pipeline_is_being_submitted(seed):
-    """A job that names a cancelled one is accepted all the same, and aborted."""
+    """A job that depends on a cancelled job is accepted nevertheless, and aborted."""
     deployment, pipelines = ready(350 + seed)
     deployment.users.accepted_callbacks.append(
         lambda job: deployment.users.cancel(job) if job.endswith(("000", "004", "008")) else None
@@ -61,7 +62,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_cancelling_at_the_moment_of_an_end(seed):
-    """Either the end is recorded first and the pipeline goes on, or all after it is aborted."""
+    """Either the job's end is recorded first and the pipeline goes on, or all descendants are aborted."""
     deployment, pipelines = ready(360 + seed)
     deployment.faults.during(seconds(40), "cancel_at_end", 0.4)
     pipelines.stream(10, seconds(1))
@@ -95,7 +96,7 @@
         deployment.jobs.observed_states[pipeline.job(2)] == "aborted"
         and pipeline.job(2) in deployment.jobs.cancelled_at
     )
-    # A repeat of its submission is answered by its state as well.
+    # A repeated submission of the job is answered with its state too.
     status, body = post(
         deployment, deployment.jobs.descriptions[pipeline.job(2)], deployment.controller_names[0]
     )
@@ -104,22 +105,22 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_all_after_a_job_cancelled_through_another_node_know_it_there(seed):
-    """Cancelled at one controller, asked for within milliseconds at all others."""
+    """The jobs are cancelled at one controller, and users poll all controllers within milliseconds."""
     deployment, pipelines = ready(390 + seed)
     deployment.faults.during(seconds(30), "poll_everywhere", True)
-    shapes = [pipelines.begin(shape, **LONG) for shape in (chain(4), diamond(), fan_out(4))]
-    run_until(deployment, lambda: all(pipeline.complete for pipeline in shapes))
-    for number, pipeline in enumerate(shapes):
+    begun = [pipelines.begin(shape, **LONG) for shape in (chain(4), diamond(), fan_out(4))]
+    run_until(deployment, lambda: all(pipeline.complete for pipeline in begun))
+    for number, pipeline in enumerate(begun):
         deployment.users.cancel(pipeline.job(0), 40, deployment.controller_names[number % 3])
     run_until(
-        deployment, lambda: all(pipeline.job(0) in deployment.jobs.cancelled_at for pipeline in shapes), 5
+        deployment, lambda: all(pipeline.job(0) in deployment.jobs.cancelled_at for pipeline in begun), 5
     )
-    for pipeline in shapes:
+    for pipeline in begun:
         for job in pipeline.jobs:
             for controller in deployment.controller_names:
                 deployment.users.poll(job, controller)
     deployment.run(seconds(1))
-    assert {deployment.jobs.observed_states[job] for pipeline in shapes for job in pipeline.jobs} == {
+    assert {deployment.jobs.observed_states[job] for pipeline in begun for job in pipeline.jobs} == {
         "aborted"
     }
     pipelines.settle()
@@ -173,9 +174,9 @@
     run_until(deployment, lambda: pipeline.complete and deployment.executions.machines_of(pipeline.job(0)))
     deployment.users.cancel(pipeline.job(0))
     run_until(deployment, lambda: pipeline.job(0) in deployment.jobs.cancelled_at, 5)
-    changes = deployment.state.changes
+    changes_before = deployment.state.changes
     pipelines.settle()
     assert {deployment.jobs.observed_states[job] for job in pipeline.jobs} == {"aborted"}
-    # Nothing is written for those after it: the cancellation is derived.
-    assert deployment.state.changes - changes < 30
+    # No records are written for the descendants: their cancellation is derived.
+    assert deployment.state.changes - changes_before < 30
     assert set(deployment.jobs.observed_states.values()) <= set(OVER)
--- a/tests/test_pipeline_submissions.py
+++ b/tests/test_pipeline_submissions.py
@@ -1,6 +1,7 @@
-"""Which lists of dependencies a submission may have, and what is answered to the others.
+"""Tests of the lists of dependencies in submissions: which are accepted, and how others are answered.
 
-SimulatedDeployment.run checks the rules of chained jobs all the time, `settle` that all is served in the end.
+SimulatedDeployment.run checks the invariants of dependencies throughout the run; `settle` checks at the end
+that every job is over and that users are told so.
 """
 
 import msgspec
@@ -26,7 +27,7 @@
         )
         status, _ = post(deployment, body, deployment.controller_names[controller])
         assert status == 422, awaits
-        # It was never accepted.
+        # The rejected job is unknown to all controllers.
         assert all(status == 404 for status, _ in answers_everywhere(deployment, [body["ref"]]).values())
 
 
@@ -54,7 +55,7 @@
     body = dict(deployment.jobs.descriptions[pipeline.job(0)], ref="job-000500", awaits=awaits)
     status, _ = post(deployment, body, deployment.controller_names[0])
     assert status == 400
-    # A repeat of a known job is answered by its state, whatever it holds.
+    # A repeated submission of a known job is answered with its state, even if its content is invalid.
     repeat = dict(deployment.jobs.descriptions[pipeline.job(0)], awaits=awaits)
     status, answer = post(deployment, repeat, deployment.controller_names[0])
     assert status == 200 and msgspec.json.decode(answer)["stage"] in ("pending", "running")
@@ -81,12 +82,13 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_lagging_controller_never_answers_422_for_an_accepted_job(seed):
-    """The store refuses it, or answers slowly, while others accept jobs; it may only say 503."""
+    """The store refuses one controller or is slow while the others accept jobs. Until the lagging controller
+    has caught up it may answer 503, but must not answer 422."""
     deployment, pipelines = ready(460 + seed)
-    behind = deployment.controller_names[seed % 3]
-    statuses = []
+    lagging = deployment.controller_names[seed % 3]
+    dependents = []
 
-    def name_it(job):
+    def submit_dependent(job):
         body = dict(
             deployment.jobs.descriptions[job],
             ref=f"job-{800_000 + len(deployment.jobs.accepted):06d}",
@@ -95,10 +97,10 @@
         deployment.jobs.descriptions[body["ref"]] = body
         deployment.jobs.submitted_at[body["ref"]] = deployment.clock.now()
         deployment.users.poll_until_over(body["ref"])
-        deployment.users.send_submission(body["ref"], 40, behind)
-        statuses.append(body["ref"])
+        deployment.users.send_submission(body["ref"], 40, lagging)
+        dependents.append(body["ref"])
 
-    deployment.users.accepted_callbacks.append(lambda job: name_it(job) if job < "job-8" else None)
+    deployment.users.accepted_callbacks.append(lambda job: submit_dependent(job) if job < "job-8" else None)
     deployment.faults.during(seconds(20), "slow_store", seconds(0.8))
     for at in (1, 5, 9):
         deployment.clock.later(seconds(at), deployment.faults.refuse, seed % 3, seconds(2))
@@ -107,8 +109,8 @@
             seconds(number), lambda n=number: deployment.users.submit_and_poll(n, run_s=1.0)
         )
     deployment.run(seconds(22))
-    # SimulatedDeployment.repeat takes a 422 for a breach.
-    assert len(statuses) >= 10 and deployment.counts["submission 422"] == 0
+    # `send_submission` also records a response with status 422 as a violation.
+    assert len(dependents) >= 10 and deployment.counts["submission 422"] == 0
     pipelines.settle()
 
 
@@ -120,9 +122,9 @@
     deployment.run(seconds(2))
     statuses = []
 
-    async def ask(name, body):
-        answer = await deployment.controllers[name].handle("POST", "/submissions", encode(body))
-        statuses.append((answer.status, answer.retry_after))
+    async def submit(name, body):
+        response = await deployment.controllers[name].handle("POST", "/submissions", encode(body))
+        statuses.append((response.status, response.retry_after))
 
     for number, name in enumerate(deployment.controller_names):
         body = dict(
@@ -130,26 +132,27 @@
             ref=f"job-{500 + number:06d}",
             awaits=["job-999999"],
         )
-        run_in_background(ask(name, body), "asking")
+        run_in_background(submit(name, body), "submission")
     deployment.run(seconds(3))
     assert len(statuses) == 3 and all(status == 503 and retry for status, retry in statuses)
 
 
 @pytest.mark.parametrize("count", [200, 2000])
 def test_a_long_list_of_dependencies(count):
-    """A list as long as the body allows fits whatever limits hold, or is answered by a documented status;
-    nothing breaks in the store, and the job starts after all of them."""
+    """A list of dependencies as long as the request body allows must be accepted whatever limits apply, or be
+    rejected with a documented status, and must cause no errors in the store. The job must start only after
+    all its dependencies are done."""
     deployment, pipelines = ready(470)
-    needed = [
+    dependencies = [
         deployment.users.submit(number, vcpus=1.0, threads=1, mem_gb=0.1, run_s=0.3) for number in range(200)
     ]
-    run_until(deployment, lambda: deployment.jobs.accepted >= set(needed))
-    # Ids of other forms name other jobs: the list is made long by duplicates, which count once.
-    body = {"awaits": (needed * (count // len(needed)))[:count]} | LONG
+    run_until(deployment, lambda: deployment.jobs.accepted >= set(dependencies))
+    # Only ids of accepted jobs may be listed, so duplicates, which count once, make the list long.
+    body = {"awaits": (dependencies * (count // len(dependencies)))[:count]} | LONG
     job = deployment.users.submit(90_000, **body)
     assert len(encode(deployment.jobs.descriptions[job])) < 64 * 1024
     deployment.users.poll_until_over(job)
-    for one in needed:
-        deployment.users.poll_until_over(one)
+    for dependency in dependencies:
+        deployment.users.poll_until_over(dependency)
     pipelines.settle()
     assert deployment.jobs.observed_states[job] == "done"
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,6 +1,7 @@
-"""Pipelines of jobs among real controllers, without faults and under generated ones.
+"""Tests of pipelines of dependent jobs, without faults, with chosen faults and with generated ones.
 
-SimulatedDeployment.run checks the rules of chained jobs all the time, `settle` that all is served in the end.
+SimulatedDeployment.run checks the invariants of dependencies throughout the run; `settle` checks at the end
+that every job is over and that users are told so.
 """
 
 import pytest
@@ -36,8 +37,10 @@
     assert set(stages_of(deployment, dependents)) == {"pending"}
     pipelines.settle()
     for job in dependents:
-        ends = max(deployment.executions.began_at[one] for one in deployment.dependencies.ancestors(job))
-        assert deployment.executions.began_at[job] > ends
+        ancestors_began_at = max(
+            deployment.executions.began_at[ancestor] for ancestor in deployment.dependencies.ancestors(job)
+        )
+        assert deployment.executions.began_at[job] > ancestors_began_at
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -64,10 +67,10 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize("which", ["late_writes", "lost_answers"])
-def test_pipelines_with_transactions_without_an_answer(seed, which):
+@pytest.mark.parametrize("fault", ["late_writes", "lost_answers"])
+def test_pipelines_with_transactions_without_an_answer(seed, fault):
     deployment, pipelines = ready(430 + seed)
-    deployment.faults.during(seconds(18), which, 0.3)
+    deployment.faults.during(seconds(18), fault, 0.3)
     pipelines.stream(10, seconds(1.2))
     pipelines.cancel_some(0.2, seconds(6))
     deployment.clock.later(seconds(6), deployment.faults.restart_leader, seconds(1))
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -1,4 +1,4 @@
-"""Keeps the code readable by rule: imports go downwards, names are the field's terms, pages are true."""
+"""Checks of layering, naming and documentation: imports between packages, identifiers, and names in pages."""
 
 import ast
 import os
@@ -12,7 +12,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = ROOT / "spindleglade"
 
-# What each package may import. `controller` binds all of them, and only the command line imports it.
+# The packages that each package may import. `controller` uses all others, and only the command line imports
+# it.
 BASE = {"runtime", "settings", "http"}
 ALLOWED_IMPORTS: dict[str, set[str]] = {
     "runtime": set(),
@@ -28,33 +29,33 @@
     "cli": {"settings", "controller"},
 }
 
-# Words of the wire and of the earlier house style. Whoever decodes a message maps them to the field's terms.
+# Words of the wire formats and of an earlier naming style. Decoded messages use the field's terms instead.
 WIRE_WORDS = ("baton", "bobbin", "crew", "glade", "glades", "knot", "reckon", "scatter", "spin", "spindle")
 STORE_WORDS = ("hold", "tally", "turn", "turns", "weave", "windfall")
 HOUSE_WORDS = ("assignment", "assignments", "condemned", "deaf", "greet", "hungry", "mute", "orders", "owed")
 MORE_HOUSE_WORDS = ("sibling", "siblings", "solitude", "standstill", "stray", "strays", "vouch", "vouched")
 THEMED_WORDS = frozenset((*WIRE_WORDS, *STORE_WORDS, *HOUSE_WORDS, *MORE_HOUSE_WORDS))
-# As a noun these are of the wire; `mark_changed` is plain English.
+# Words of the wire formats only as nouns, at the end of an identifier; the verb in `mark_changed` is allowed.
 THEMED_LAST_WORDS = frozenset({"mark", "marks"})
-# Fields of the operators' settings keep the names of their page.
+# Modules whose identifiers are exempt: the fields of the operators' settings have the documented names.
 EDGE_MODULES = frozenset({"settings/operator.py"})
 
 PAGES = sorted([ROOT / "README.md", ROOT / "CONTRIBUTING.md", *(ROOT / "docs").glob("*.md")])
-# Folders whose files pages speak of. Others hold what a run makes and removes, also while this one looks.
+# Folders with files that pages name. Other folders hold files that may be removed while they are listed.
 NAMED_FOLDERS = ("deploy", "docs", "spindleglade", "tests")
-# Pages that tell of earlier versions, with the names of then.
+# Pages about earlier versions, which use the names of those versions.
 HISTORICAL_PAGES = frozenset({"results.md"})
 MAX_MODULE_LINES = 300
 MAX_TEST_MODULE_LINES = 400
 
 
 def modules() -> list[Path]:
-    """The modules of the package, tests aside."""
+    """The modules of the package except for tests."""
     return sorted(path for path in PACKAGE.rglob("*.py") if not path.name.startswith("test_"))
 
 
 def test_modules() -> list[Path]:
-    """All modules of tests and their support."""
+    """All test modules and their support modules."""
     return sorted([*PACKAGE.rglob("test_*.py"), *(ROOT / "tests").rglob("*.py")])
 
 
@@ -71,12 +72,12 @@
 
 
 def package_of(path: Path) -> str:
-    """The package below the top one that a module belongs to, or its own name at the top."""
+    """The subpackage that a module belongs to; for a module at the top level, the name of the module."""
     return path.relative_to(PACKAGE).parts[0].removesuffix(".py")
 
 
 def imported_packages(path: Path) -> set[str]:
-    """The packages below the top one that a module imports, wherever in it."""
+    """The subpackages that a module imports anywhere, at its top level or in a function."""
     names: set[str] = set()
     for node in ast.walk(syntax_tree(path)):
         if isinstance(node, ast.ImportFrom) and node.module is not None:
@@ -137,7 +138,7 @@
 
 @cache
 def test_names() -> frozenset[str]:
-    """The names of all test functions, test classes, and classes of generated stories."""
+    """The names of all functions and classes in test modules and their support modules."""
     found: set[str] = set()
     for path in test_modules():
         for node in ast.walk(syntax_tree(path)):
@@ -150,7 +151,7 @@
 
 
 def file_names() -> set[str]:
-    """The last parts of all files' names that a page may speak of."""
+    """The names, without folders, of all files that a page may name."""
     names = {path.name for path in ROOT.iterdir()}
     for folder in NAMED_FOLDERS:
         for _, _, files in os.walk(ROOT / folder):
--- a/tests/test_simulated_deployment.py
+++ b/tests/test_simulated_deployment.py
@@ -1,4 +1,4 @@
-"""The whole service under generated faults: every rule of the protocol, whatever fails."""
+"""Tests of the whole service on a simulated clock, under generated faults and in chosen situations."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -72,29 +72,30 @@
     assert deployment.jobs.accepted
 
 
-def answered_everywhere(deployment, jobs):
-    """Which of the jobs each controller answers, asked straight."""
-    got = {(name, job): 0 for name in deployment.controllers for job in jobs}
-    for name, job in got:
+def statuses_everywhere(deployment, jobs):
+    """The status with which each controller answers a direct request for each job."""
+    statuses = {(name, job): 0 for name in deployment.controllers for job in jobs}
+    for name, job in statuses:
 
         async def ask(name=name, job=job):
-            got[(name, job)] = (
+            statuses[(name, job)] = (
                 await deployment.controllers[name].handle("GET", f"/submissions/{job}", b"")
             ).status
 
-        run_in_background(ask(), "asking")
+        run_in_background(ask(), "status request")
     deployment.run(seconds(2))
-    return got
+    return statuses
 
 
 def test_every_job_stays_known_though_history_is_lost_and_all_controllers_restart():
-    """As many jobs as a day may have; the watch's history is gone, so everything must be read anew, and
-    the store refuses whoever asks too often. Each job is asked for by itself, at each controller."""
+    """The store has dropped the changes that a watch would need, so every controller must read all records
+    again, while the store rejects requests above its rate. Each job is requested separately at each
+    controller."""
     deployment = SimulatedDeployment(21)
     deployment.run(seconds(3))
     jobs = [deployment.users.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150)]
     deployment.run(seconds(8))
-    # One controller misses more than the store remembers.
+    # One controller misses more changes than the store keeps.
     deployment.state.max_log_entries = 5
     deployment.network.refused_by_store.add("node-1")
     jobs += [deployment.users.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150, 300)]
@@ -102,18 +103,18 @@
     deployment.network.refused_by_store.clear()
     assert deployment.jobs.accepted == set(jobs)
     deployment.run(seconds(4))
-    assert set(answered_everywhere(deployment, jobs).values()) == {200}
+    assert set(statuses_everywhere(deployment, jobs).values()) == {200}
     deployment.state.outage(seconds(5))
     for at in range(3):
         deployment.faults.restart(at, seconds(0.2 + at))
     deployment.run(seconds(15))
-    got = answered_everywhere(deployment, jobs)
-    assert set(got.values()) == {200} and len(got) == 900
+    statuses = statuses_everywhere(deployment, jobs)
+    assert set(statuses.values()) == {200} and len(statuses) == 900
 
 
 def test_an_unreachable_machine_gets_no_more_work():
-    """Its reports arrive, but nothing that is sent to it. It used to be taken for a good machine, given a
-    task again after each lost lease, and the task waited there."""
+    """The machine's heartbeats arrive, but no message reaches it. If the leader took it for usable, it would
+    place a task there again after each expired lease, and the task would never run."""
     deployment = SimulatedDeployment(22, capacity=2)
     deployment.run(seconds(3))
     deployment.users.submit(1, threads=2, vcpus=5.0, run_s=2.0)
@@ -132,13 +133,16 @@
 
 
 def test_workers_leave_a_controller_that_has_lost_the_store_and_its_peers():
-    """It could renew their leases, but has no orders for them; elsewhere there is a leader."""
+    """The controller could renew the workers' leases but has no commands for them, while the other
+    controllers have a leader."""
     deployment, machine, leader = busy_deployment(23)
     near = (leader + 1) % 3
     worker = deployment.workers[machine.partition(":")[0]]
-    # The controller tells by a worker from another zone that it is cut off alone.
-    other = "a" if deployment.controllers[deployment.controller_names[near]]._platform.zone == "b" else "b"
-    worker.machine.zone = other
+    # A heartbeat from a worker in another zone tells the controller that it alone is isolated.
+    other_zone = (
+        "a" if deployment.controllers[deployment.controller_names[near]]._platform.zone == "b" else "b"
+    )
+    worker.machine.zone = other_zone
     worker.controller_index = near
     deployment.network.cut(
         deployment.controller_names[near], [*deployment.controller_names, "state"], False, seconds(30)
@@ -150,16 +154,16 @@
 
 
 def test_a_copy_of_a_start_after_a_cancellation_starts_nothing():
-    """A start that went straight to a machine and was carried out may come once more, minutes later. Had
-    the attempt been cleared in between, the worker would run it again."""
+    """A start command that was sent directly to a machine and executed may arrive again minutes later. If the
+    attempt had been cleared in between, the worker would run it a second time."""
     deployment, machine, leader = busy_deployment(24)
     worker = deployment.workers[machine.partition(":")[0]]
     ((task, attempt),) = worker.tasks
     deployment.users.cancel("job-000001")
     deployment.run(seconds(8))
-    order = {"verb": "start", "thread": task, "try": attempt}
+    command = {"verb": "start", "thread": task, "try": attempt}
     worker.handle(
-        "POST", "/orders", encode({"baton": worker.token, "spin": worker.incarnation, "orders": [order]})
+        "POST", "/orders", encode({"baton": worker.token, "spin": worker.incarnation, "orders": [command]})
     )
     deployment.run(seconds(3))
     assert not any(deployment.executions.running_on.values()) and deployment.executions.started == 1
@@ -177,7 +181,7 @@
 
 
 def busy_deployment(seed, run_s=40.0):
-    """A deployment with one long task running, its machine's address and the leader's index."""
+    """Returns a deployment that runs one long task, the address of its machine, and the leader's index."""
     deployment = SimulatedDeployment(seed)
     deployment.run(seconds(3))
     deployment.users.submit(1, threads=1, run_s=run_s)
@@ -189,7 +193,7 @@
 
 
 def test_a_leader_cut_off_from_all_but_the_store_steps_down():
-    """It used to lead on, and would have released every machine once their leases had passed."""
+    """An isolated leader that kept leading would terminate all machines once their leases had expired."""
     deployment, machine, leader = busy_deployment(11)
     everyone = [
         worker.machine.address for worker in deployment.workers.values()
@@ -202,8 +206,8 @@
 
 
 def test_a_leader_that_was_frozen_terminates_no_machine():
-    """When it goes on it has heard of no machine for longer than any lease, and of no successor either; it
-    once gave back the whole fleet, which its successor was using."""
+    """When a frozen leader resumes, it has received no heartbeat for longer than any lease and does not know
+    of its successor. It must not terminate the machines, which the successor is using."""
     deployment, machine, leader = busy_deployment(14, run_s=80.0)
     deployment.faults.freeze(leader, seconds(20))
     deployment.run(seconds(19))
@@ -218,8 +222,8 @@
 
 
 def test_a_leader_that_cannot_reach_machines_steps_down():
-    """Their reports come by way of its peers, but no order reaches them. It took them all for deaf, and
-    nothing was placed for as long as that lasted."""
+    """The machines' heartbeats are relayed by followers, but the leader's commands do not reach them. A
+    leader that took all machines for unreachable would place nothing for as long as that lasts."""
     deployment = SimulatedDeployment(15, capacity=8)
     deployment.run(seconds(3))
     deployment.users.submit(1, threads=12, vcpus=5.0, run_s=40.0, crew="red")
@@ -238,8 +242,8 @@
 
 
 def test_machines_of_controllers_that_cannot_reach_the_leader_are_used():
-    """The links between controllers are refused, and only the store tells the leader that those machines
-    live."""
+    """The connections between controllers fail. The leader learns only from the store that the leases of
+    those machines are renewed."""
     deployment = SimulatedDeployment(16, capacity=8)
     deployment.run(seconds(3))
     deployment.users.submit(1, threads=4, vcpus=5.0, run_s=1.0)
@@ -258,7 +262,8 @@
 
 
 def test_a_task_behind_a_cut_with_one_controller_runs_on():
-    """That controller cannot reach the leader; it renews the lease itself and vouches through the store."""
+    """The one controller that reaches the machine cannot reach the leader. It renews the lease itself and
+    reports the renewal through the store."""
     deployment, machine, leader = busy_deployment(12)
     near = deployment.controller_names[(leader + 1) % 3]
     others = [name for name in deployment.controller_names if name != near]
@@ -274,8 +279,9 @@
 
 
 def test_a_controller_that_the_store_refuses_still_finds_the_new_leader():
-    """The old leader, refused by the store alone, saw no other elected; it renewed its workers' leases by
-    itself, and the new leader gave up 46 machines as silent."""
+    """The store refuses the old leader alone, which therefore does not see in the store that another leader
+    is elected. If it went on renewing its workers' leases by itself, the new leader would give their machines
+    up as silent: 46 machines were lost like this."""
     deployment, machine, leader = busy_deployment(17)
     old = deployment.controller_names[leader]
     worker = deployment.workers[machine.partition(":")[0]]
@@ -285,12 +291,14 @@
     new = deployment.leader()
     assert new not in (None, leader) and worker.controller_index == leader
     deployment.run(seconds(8))
-    heard = (
+    last_heartbeat_at = (
         deployment.controllers[deployment.controller_names[new]]
         .leader.cluster.machines[worker.machine.name]
         .last_heartbeat_at
     )
-    assert deployment.controllers[deployment.controller_names[new]]._clock.now() - heard < seconds(2)
+    assert deployment.controllers[
+        deployment.controller_names[new]
+    ]._clock.now() - last_heartbeat_at < seconds(2)
     deployment.network.refused_by_store.clear()
     deployment.run(seconds(60))
     assert deployment.executions.started == 1 and len(deployment.executions.completed) == 1
@@ -304,8 +312,8 @@
 
 
 def test_a_cancellation_ends_work_behind_a_cut_in_time():
-    """The controller beside the task is cut off from the store as well and cannot know of the abort; its
-    renewals must end early enough for the lease to run out within `cancel_s`."""
+    """The controller that the worker reaches is cut off from the store and cannot know of the cancellation.
+    It must stop renewing the lease early enough for the lease to expire within `cancel_s`."""
     deployment, machine, leader = busy_deployment(14)
     near = deployment.controller_names[(leader + 1) % 3]
     others = [name for name in deployment.controller_names if name != near]
--- a/tests/test_whole_fleet.py
+++ b/tests/test_whole_fleet.py
@@ -1,5 +1,8 @@
-"""One day of a whole fleet: everything restarts while it is loaded, then a zone is cut off and its packets
-are held. What the operators call a failed day is checked at the end, the rules all the time."""
+"""Tests of a loaded fleet: all controllers restart, then a zone is cut off and its messages are held.
+
+SimulatedDeployment.run checks the invariants throughout the run. At the end the test checks the operators'
+objectives: jobs done by class, team and size, and waiting times.
+"""
 
 import os
 import subprocess
@@ -13,8 +16,8 @@
 
 MACHINES = 240
 TEAMS = tuple({"name": name, "cpus": 300.0, "cpus_max": 900.0} for name in ("red", "blue", "green"))
-# Sockets for every worker at one controller, and hardly more.
-FLEET = DeploymentConfig(
+# A controller has just enough sockets for all workers.
+CONFIG = DeploymentConfig(
     capacity=MACHINES,
     report=seconds(2.5),
     lease=seconds(8),
@@ -27,12 +30,14 @@
     "clean": {"vcpus": 2.0, "threads": 40, "run_s": 12.0, "reckon_s": 12.0},
     "decode": {"vcpus": 8.0, "threads": 30, "run_s": 12.0, "reckon_s": 12.0},
 }
-LAST_TROUBLE = seconds(58)
+LAST_FAULT_ENDS_AT = seconds(58)
+
 
+class FleetRun:
+    """A deployment with its schedule of 100 submissions, the restart and the cut."""
 
-class Day:
     def __init__(self, seed: int) -> None:
-        self.deployment = SimulatedDeployment(seed, config=FLEET)
+        self.deployment = SimulatedDeployment(seed, config=CONFIG)
         self.deployment.cloud.page_size = 500
         self.jobs: dict[str, tuple[str, str, bool]] = {}
         for at in range(100):
@@ -43,7 +48,7 @@
     def submit(self, number: int) -> None:
         name = ("flag", "flag", "clean", "flag", "decode")[number % 5]
         team = TEAMS[number % len(TEAMS)]["name"]
-        # Each seventh is one of its class's largest.
+        # Every seventh job is one of the largest of its class.
         large = number % 7 == 0
         fields = CLASSES[name] | {"bobbin": name, "crew": team}
         if large:
@@ -53,18 +58,18 @@
         self.poll(job)
 
     def poll(self, job: str) -> None:
-        """Like a user: every few seconds until it is done."""
+        """Polls the job as a user does, every five seconds until it is done."""
         if self.deployment.jobs.observed_states.get(job) != "done":
             self.deployment.users.poll(job)
             self.deployment.clock.later(seconds(5), self.poll, job)
 
     def restart_everything(self) -> None:
-        """All controllers end within three seconds, and are back after a while or at once; a fifth of the
-        machines are lost without notice at the same time."""
+        """All controllers end within three seconds and are back 0.2 to 4 seconds later. A fifth of the
+        machines fail without notice at the same time."""
         deployment = self.deployment
-        for at, (ends, back) in enumerate(((0.0, 4.0), (1.0, 0.2), (2.5, 3.0))):
-            deployment.clock.later(seconds(ends), deployment.processes.kill, at)
-            deployment.clock.later(seconds(ends + back), deployment.processes.start, at)
+        for index, (ends_s, downtime_s) in enumerate(((0.0, 4.0), (1.0, 0.2), (2.5, 3.0))):
+            deployment.clock.later(seconds(ends_s), deployment.processes.kill, index)
+            deployment.clock.later(seconds(ends_s + downtime_s), deployment.processes.start, index)
         for name in sorted(deployment.workers)[: MACHINES // 5]:
             deployment.faults.kill_machine(name)
 
@@ -74,7 +79,7 @@
             name for name, controller in deployment.controllers.items() if controller._platform.zone == "b"
         ]
         outside = [name for name in deployment.controllers if name not in inside]
-        length = LAST_TROUBLE - deployment.clock.now()
+        length = LAST_FAULT_ENDS_AT - deployment.clock.now()
         machines = [w.machine.address for w in deployment.workers.values() if w.machine.zone == "b"]
         assert inside and len(machines) > MACHINES // 4
         for name in outside:
@@ -82,44 +87,44 @@
         for name in inside:
             deployment.network.cut(name, ["state", "cloud", "user"], True, length)
 
-    def shares(self, key: int) -> dict:
-        """By class, team or size: how much of its jobs is done."""
-        found: dict = {}
-        for job, of in self.jobs.items():
-            found.setdefault(of[key] if key < 2 else (of[0], of[2]), []).append(
+    def shares_done(self, key: int) -> dict:
+        """The share of jobs that are done, by class (`key` 0), by team (1), or by class and size (2)."""
+        outcomes: dict = {}
+        for job, groups in self.jobs.items():
+            outcomes.setdefault(groups[key] if key < 2 else (groups[0], groups[2]), []).append(
                 self.deployment.jobs.observed_states.get(job) == "done"
             )
-        return {name: sum(done) / len(done) for name, done in found.items()}
+        return {name: sum(done) / len(done) for name, done in outcomes.items()}
 
 
 def test_the_whole_fleet_restarts_and_a_zone_is_cut_off():
-    day = Day(31)
-    deployment = day.deployment
-    # The rules are checked in there.
-    deployment.run(LAST_TROUBLE + seconds(75), timedelta(milliseconds=200))
-    assert len(day.jobs) == 100
-    for job in day.jobs:
+    fleet_run = FleetRun(31)
+    deployment = fleet_run.deployment
+    deployment.run(LAST_FAULT_ENDS_AT + seconds(75), timedelta(milliseconds=200))
+    assert len(fleet_run.jobs) == 100
+    for job in fleet_run.jobs:
         assert job in deployment.jobs.accepted
-        answered = deployment.jobs.answered_at.get(job, timedelta(0))
-        assert answered > LAST_TROUBLE or deployment.jobs.observed_states.get(job) == "done", (
-            f"{job} is forgotten"
+        answered_at = deployment.jobs.answered_at.get(job, timedelta(0))
+        assert answered_at > LAST_FAULT_ENDS_AT or deployment.jobs.observed_states.get(job) == "done", (
+            f"{job} is not done and was not answered after the last fault"
         )
-    assert set(day.shares(0)) == set(CLASSES) and min(day.shares(0).values()) >= 0.5
-    assert len(day.shares(1)) == len(TEAMS) and min(day.shares(1).values()) >= 0.5
-    assert len(day.shares(2)) == 2 * len(CLASSES) and min(day.shares(2).values()) >= 0.5
+    assert set(fleet_run.shares_done(0)) == set(CLASSES) and min(fleet_run.shares_done(0).values()) >= 0.5
+    assert len(fleet_run.shares_done(1)) == len(TEAMS) and min(fleet_run.shares_done(1).values()) >= 0.5
+    assert len(fleet_run.shares_done(2)) == 2 * len(CLASSES) and min(fleet_run.shares_done(2).values()) >= 0.5
     waits = [
         deployment.executions.began_at.get(job, seconds(1e6)) - deployment.jobs.submitted_at[job]
-        for job in day.jobs
+        for job in fleet_run.jobs
     ]
     assert max(waits) < seconds(240)
-    # Most workers came to one controller while the others were away, and it had something to say to each.
-    assert MACHINES // 2 < deployment.connections.most_open <= FLEET.sockets
+    # While the other controllers were down, most workers were connected to one controller.
+    assert MACHINES // 2 < deployment.connections.most_open <= CONFIG.sockets
     assert deployment.executions.started > 2000
 
 
-def begin_of_day() -> None:
-    """Prints what the first half minute of the day was like."""
-    deployment = Day(31).deployment
+def print_first_seconds() -> None:
+    """Runs the first 27 seconds and prints the counts of starts and connections, and the times of starts and
+    answers."""
+    deployment = FleetRun(31).deployment
     deployment.run(seconds(27), timedelta(milliseconds=200))
     print(
         deployment.executions.started,
@@ -130,9 +135,9 @@
 
 
 def test_the_same_day_runs_the_same_way_in_any_process():
-    """Python gives strings other hashes in each process. Orders once went out in a set's order, so a check of
-    the whole day passed in one process and failed in the next."""
-    code = "from tests.test_whole_fleet import begin_of_day; begin_of_day()"
+    """The hashes of strings differ between Python processes. If commands were sent in the order of a set, the
+    same run would differ between processes, and its checks would pass in one and fail in another."""
+    code = "from tests.test_whole_fleet import print_first_seconds; print_first_seconds()"
     runs = [
         subprocess.Popen(
             [sys.executable, "-c", code],
@@ -142,6 +147,6 @@
         )
         for seed in ("1", "2")
     ]
-    one, other = (run.communicate()[0] for run in runs)
-    assert [run.returncode for run in runs] == [0, 0] and len(one) > 1000
-    assert one == other
+    first_output, second_output = (run.communicate()[0] for run in runs)
+    assert [run.returncode for run in runs] == [0, 0] and len(first_output) > 1000
+    assert first_output == second_output
