--- a/tests/test_both_versions.py
+++ b/tests/test_both_versions.py
@@ -29,7 +29,7 @@
 ALL_CONTROLLERS = (0, 1, 2)
 
 
-def begin_day(seed, old=ALL_CONTROLLERS, **named):
+def start_deployment(seed, old=ALL_CONTROLLERS, **named):
     """Returns a deployment with work under way. The controllers with the indexes in `old` run the version in
     production, the others the current version."""
 
@@ -98,7 +98,7 @@
     )
 
 
-def finish_day(deployment):
+def complete_run(deployment):
     """Completes a run in which all controllers run the current version. Submits pipelines and a job that
     depends on one accepted by production, lowers the limits of the state service, and waits until every job
     is over."""
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("order", [(0, 1, 2), (2, 1, 0), (1, 2, 0)], ids=str)
 @pytest.mark.parametrize("seed", range(2))
 def test_a_day_with_the_upgrade(seed, order):
-    deployment = begin_day(900 + seed)
+    deployment = start_deployment(900 + seed)
     assert leading_version(deployment) == "production"
     stream(deployment, 36, 0.5)
     for number, index in enumerate(order):
@@ -128,7 +128,7 @@
     deployment.fault_window.extend(seconds(16))
     deployment.run(seconds(18))
     assert leading_version(deployment) == "current"
-    finish_day(deployment)
+    complete_run(deployment)
 
 
 def hand_over(deployment):
@@ -149,7 +149,7 @@
 def test_each_version_takes_over_from_the_other(seed):
     """The versions take over from each other in turn while work is under way, first with one and then with
     two of the three controllers running the current version."""
-    deployment = begin_day(910 + seed)
+    deployment = start_deployment(910 + seed)
     stream(deployment, 90, 0.5)
     # The run times differ, so that some tasks of this array run at every handover.
     run_times_s = [4.0 + 3 * index for index in range(40)]
@@ -165,13 +165,13 @@
     deployment.run(seconds(9))
     upgrade(deployment, (seed + 2) % 3)
     deployment.run(seconds(12))
-    finish_day(deployment)
+    complete_run(deployment)
 
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("fault", ["late_writes", "lost_answers"])
 def test_transactions_without_an_answer_between_the_versions(seed, fault):
-    deployment = begin_day(920 + seed)
+    deployment = start_deployment(920 + seed)
     stream(deployment, 40, 0.5)
     deployment.faults.during(seconds(22), fault, 0.25)
     for number in range(3):
@@ -181,13 +181,13 @@
         )
     deployment.run(seconds(26))
     assert deployment.counts["astray"] > 5
-    finish_day(deployment)
+    complete_run(deployment)
 
 
 @settings(max_examples=12)
 @given(st.integers(0, 1 << 30), FAULTS, st.permutations(ALL_CONTROLLERS))
 def test_no_rule_is_broken_between_the_versions_whatever_fails(seed, faults, order):
-    deployment = begin_day(seed)
+    deployment = start_deployment(seed)
     stream(deployment, 30, 0.8)
     for kind, at, length, hold, pick in faults:
         deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
@@ -195,4 +195,4 @@
         deployment.clock.later(seconds(5 + 7 * number), upgrade, deployment, index)
     deployment.fault_window.extend(seconds(26))
     deployment.run(seconds(26))
-    finish_day(deployment)
+    complete_run(deployment)
--- a/tests/test_combined_faults_of_placement.py
+++ b/tests/test_combined_faults_of_placement.py
@@ -242,7 +242,7 @@
     settle(deployment, 90)
 
 
-# Load.
+# High load.
 
 
 def test_one_task_jobs_come_four_a_second_for_minutes():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -23,7 +23,7 @@
 ANNOUNCED = replace(RECORDED, next_limits=NEXT_LIMITS)
 
 
-def begin_day(seed):
+def start_deployment(seed):
     """Returns a deployment of the current version that continues from the recorded state and knows the
     announced limits. Users submit further arrays."""
     deployment = recorded_deployment(seed, ANNOUNCED, controllers=(0, 1, 2))
@@ -46,7 +46,7 @@
     deployment.clock.later(seconds(delay_s), lambda: deployment.state.lower_limits(**NEXT_LIMITS))
 
 
-def settle_day(deployment):
+def settle_and_check_rejections(deployment):
     settle(deployment, 150.0, after_troubles=True)
     # A transaction that was rejected for its size must not be sent again unchanged.
     refused = deployment.state.rejected_for_size
@@ -61,12 +61,12 @@
 def test_limits_that_fall_amid_load_lose_nothing(delay_s):
     """The limits fall before a leader is elected, while it reads the records, or after it has rewritten some
     chunks."""
-    deployment = begin_day(600)
+    deployment = start_deployment(600)
     lower_limits_after(deployment, delay_s)
     assert largest_value(deployment) > NEXT_LIMITS["value_kb"] * 1024
     deployment.run(seconds(30))
     assert deployment.counts["parts written"] > 3
-    settle_day(deployment)
+    settle_and_check_rejections(deployment)
     assert deployment.jobs.observed_states[LARGE_ARRAY] == "done"
     assert not any(
         key.startswith((TASKS + LARGE_ARRAY, PARTS + LARGE_ARRAY)) for key in deployment.state.keys
@@ -75,18 +75,18 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_leaders_change_while_chunks_are_moved(seed):
-    deployment = begin_day(610 + seed)
+    deployment = start_deployment(610 + seed)
     lower_limits_after(deployment, 3.0)
     deployment.clock.later(seconds(2.5), deployment.faults.change_leaders, 8, seconds(16))
     deployment.run(seconds(30))
     assert deployment.counts["leaders"] > 3
-    settle_day(deployment)
+    settle_and_check_rejections(deployment)
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("fault", ["late_writes", "lost_answers"])
 def test_transactions_without_an_answer_while_chunks_are_moved(seed, fault):
-    deployment = begin_day(620 + seed)
+    deployment = start_deployment(620 + seed)
     lower_limits_after(deployment, 3.0)
     deployment.faults.during(seconds(15), fault, 0.3)
     for at in (5, 9):
@@ -97,12 +97,12 @@
         )
     deployment.run(seconds(30))
     assert deployment.counts["astray"] > 5
-    settle_day(deployment)
+    settle_and_check_rejections(deployment)
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_an_outage_and_a_restart_of_all_while_chunks_are_moved(seed):
-    deployment = begin_day(630 + seed)
+    deployment = start_deployment(630 + seed)
     lower_limits_after(deployment, 3.0)
     deployment.clock.later(seconds(4), deployment.faults.outage, seconds(3))
     for index in range(3):
@@ -110,44 +110,44 @@
             seconds(3.5 + index / 2), deployment.faults.restart, index, seconds(1 + index / 2)
         )
     deployment.run(seconds(30))
-    settle_day(deployment)
+    settle_and_check_rejections(deployment)
 
 
 @settings(max_examples=8)
 @given(st.integers(0, 1 << 30), FAULTS, st.floats(0.1, 15))
 def test_limits_that_fall_whatever_else_fails(seed, faults, after):
-    deployment = begin_day(seed)
+    deployment = start_deployment(seed)
     lower_limits_after(deployment, after)
     for kind, at, length, hold, pick in faults:
         deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
     deployment.run(seconds(24))
-    settle_day(deployment)
+    settle_and_check_rejections(deployment)
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_job_of_production_is_cancelled_while_its_chunk_is_moved(seed):
-    deployment = begin_day(640 + seed)
+    deployment = start_deployment(640 + seed)
     lower_limits_after(deployment, 3.0)
     deployment.clock.later(seconds(3.3 + seed / 3), deployment.users.cancel, LARGE_ARRAY)
     deployment.run(seconds(30))
-    settle_day(deployment)
+    settle_and_check_rejections(deployment)
     assert deployment.jobs.observed_states[LARGE_ARRAY] == "aborted"
 
 
 def test_the_leader_keeps_its_lease_at_the_new_rates():
     """Requests rejected for the rate must not prevent the leader from renewing its lease in time."""
-    deployment = begin_day(650)
+    deployment = start_deployment(650)
     lower_limits_after(deployment, 3.0)
     deployment.run(seconds(4))
     leaders = deployment.counts["leaders"]
     deployment.run(seconds(30))
     assert deployment.counts["leaders"] == leaders
-    settle_day(deployment)
+    settle_and_check_rejections(deployment)
 
 
 def test_new_values_keep_to_the_next_limits_from_the_start():
     """Before the announced limits apply, no new key may be written with a value that exceeds them."""
-    deployment = begin_day(660)
+    deployment = start_deployment(660)
     old_keys = set(deployment.state.keys)
     sizes = []
     write = deployment.state._write
@@ -160,14 +160,14 @@
     deployment.users.submit_and_poll(720, threads=120, vcpus=1.0, mem_gb=0.1, run_s=3.0)
     deployment.run(seconds(25))
     assert max(sizes) <= NEXT_LIMITS["value_kb"] * 1024
-    settle_day(deployment)
+    settle_and_check_rejections(deployment)
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_production_can_read_all_until_the_limits_fall(seed):
     """During a rolling upgrade a controller that fails before its turn restarts with production's version,
     when the next limits are announced already. Until the limits fall it must be able to read all records."""
-    deployment = begin_day(680 + seed)
+    deployment = start_deployment(680 + seed)
     deployment.faults.change_leaders(3, seconds(12))
     for _ in range(30):
         deployment.run(seconds(0.5))
@@ -177,7 +177,7 @@
                 decode_record(key, encode(value))
             if key.startswith(TASKS):
                 assert_chunk_holds_only_its_tasks(deployment, key, value)
-    settle_day(deployment)
+    settle_and_check_rejections(deployment)
 
 
 def assert_chunk_holds_only_its_tasks(deployment, key, value):
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_a_long_list_of_dependencies_fits_the_next_limits(seed):
     """The record of a job with 150 dependencies does not fit one value under the next limits."""
-    deployment = begin_day(670 + seed)
+    deployment = start_deployment(670 + seed)
     lower_limits_after(deployment, 12.0)
     deployment.run(seconds(2))
     dependencies = [
@@ -205,4 +205,4 @@
     for number in (2000, 2001):
         deployment.users.submit_and_poll(number, mem_gb=0.1, threads=1, awaits=dependencies, crew="blue")
         deployment.run(seconds(10))
-    settle_day(deployment)
+    settle_and_check_rejections(deployment)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -107,7 +107,8 @@
     st.booleans(),
 )
 def test_faults_in_the_first_seconds_leave_a_service_that_starts_work(seed, size, faults, starts, no_spot):
-    """Controllers begin in any order, some late, as faults strike; liveness must hold after them."""
+    """Controllers start in any order, some of them late, while faults occur. After the faults a leader must
+    be elected and tasks must start."""
 
     def begin(deployment: SimulatedDeployment) -> None:
         for index, at in enumerate(starts):
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -88,6 +88,6 @@
     pipelines.stream(8, seconds(2.2))
     for kind, at, length, hold, pick in faults:
         deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
-    # The latest fault has begun by then; what they leave behind is told by the deployment.
+    # All faults have begun by then; `settle` counts its time limit from the end of the last one.
     deployment.run(seconds(24))
     pipelines.settle(seconds(150))
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -44,7 +44,7 @@
             seconds(number / 2), lambda n=number: deployment.users.submit_and_poll(100 + n, threads=2)
         )
     deployment.run(seconds(40))
-    # The others serve: jobs submitted early enough are accepted, and their tasks have started.
+    # The other controllers serve: jobs submitted early enough are accepted, and their tasks have started.
     early_until = deployment.clock.now() - seconds(20)
     early = [job for job, at in deployment.jobs.submitted_at.items() if silent_since < at < early_until]
     assert len(early) >= 30 and all(
--- a/tests/test_simulated_deployment.py
+++ b/tests/test_simulated_deployment.py
@@ -54,15 +54,15 @@
         deployment.clock.later(seconds(1.3), poll)
 
     poll()
-    # The latest fault has begun by then; what they leave behind is told by the deployment.
+    # All faults have begun by then, and the fault window gives the end of the last one.
     deployment.run(seconds(24))
     deployment.run(max(seconds(46), deployment.fault_window.ends_at + seconds(40) - deployment.clock.now()))
     if any(
         deployment.jobs.observed_states[job] not in ("done", "aborted") for job in deployment.jobs.accepted
     ):
-        # There may be more work than a team's limit lets through by then.
+        # The work may exceed what the teams' limits allow in this time, so more time is given for it.
         deployment.run(max(map(deployment.service.work, ("red", "blue"))))
-    # All is healthy again by now: what was accepted has run, and users are told so, each of them.
+    # All faults are over by now: every accepted job must be done or aborted, and its user must know.
     for job in deployment.jobs.accepted:
         assert deployment.jobs.observed_states[job] in ("done", "aborted"), (
             job,
