--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -86,8 +86,9 @@
 @pytest.mark.parametrize("team", [GUARANTEED, UNGUARANTEED], ids=["guaranteed", "unguaranteed"])
 def test_work_starts_though_no_spot_machine_is_to_be_had(team):
     """While no spot machine is available, on-demand machines must be provisioned within `STARTS_WITHIN`, also
-    for a team without guaranteed CPUs. Waiting ten minutes for spot machines, or without limit for such a
-    team, would leave the work undone although on-demand machines are available."""
+    for a team without guaranteed CPUs. Waiting for spot machines for ten minutes, longer than a whole run
+    of the service lasts, or without limit for such a team, would leave the work undone although on-demand
+    machines are available."""
     deployment = SimulatedDeployment(32, config=DeploymentConfig(teams=(team,)))
     deployment.cloud.spot_exhausted = True
     deployment.run(seconds(2))
--- a/tests/test_simulated_deployment.py
+++ b/tests/test_simulated_deployment.py
@@ -89,8 +89,8 @@
 
 def test_every_job_stays_known_though_history_is_lost_and_all_controllers_restart():
     """The store has dropped the changes that a watch would need, so every controller must read all records
-    again, while the store rejects requests above its rate. Each job is requested separately at each
-    controller."""
+    again, while the store rejects requests above its rate. There are 300 jobs, as many as a whole
+    run of the service may have, and each is requested separately at each controller."""
     deployment = SimulatedDeployment(21)
     deployment.run(seconds(3))
     jobs = [deployment.users.submit(number, threads=1, vcpus=8.0, run_s=600.0) for number in range(150)]
--- a/tests/test_whole_fleet.py
+++ b/tests/test_whole_fleet.py
@@ -116,7 +116,8 @@
         for job in fleet_run.jobs
     ]
     assert max(waits) < seconds(240)
-    # While the other controllers were down, most workers were connected to one controller.
+    # While the other controllers were down, most workers were connected to one controller, which also had
+    # commands for each of them.
     assert MACHINES // 2 < deployment.connections.most_open <= CONFIG.sockets
     assert deployment.executions.started > 2000
 
