--- a/spindleglade/controller/recovery.py
+++ b/spindleglade/controller/recovery.py
@@ -158,8 +158,8 @@
             self._undecodable_jobs.add(entry.key.split("/")[2])
 
     def _load_ranges(self, decoded: _DecodedRecords, now: timedelta) -> None:
-        # A task range is not valid for the tasks of an overflow range, so all overflow ranges are declared
-        # before any record is loaded.
+        # The record of a task range does not cover tasks that belong to an overflow range, so all overflow
+        # ranges are added before any record is loaded.
         for job, first_task, _ in decoded.overflow_ranges:
             if job not in self._undecodable_jobs:
                 self.cluster.add_overflow_range(job, first_task)
--- a/spindleglade/controller/upkeep.py
+++ b/spindleglade/controller/upkeep.py
@@ -40,7 +40,7 @@
         self._renewals_were_permitted = True
 
     async def run_pass(self) -> None:
-        """Runs one pass."""
+        """Runs one pass: updates the cluster state, and logs why no task starts or renewals are withheld."""
         self._log_stall()
         self._log_renewal_permission()
         self._cluster.set_machine_types(self._machine_types.capacities())
--- a/spindleglade/workers/api.py
+++ b/spindleglade/workers/api.py
@@ -56,7 +56,8 @@
         balancer: HeartbeatBalancer,
         isolation: IsolationDetector,
     ) -> None:
-        """`cancellation_freshness` limits renewals without the leader; the leader has its own."""
+        """`cancellation_freshness` limits the renewals without the leader. The leader's own renewals are
+        limited in `leader.respond`."""
         self._leader = leader
         self._observe_token = observe_token
         self._balancer = balancer
--- a/spindleglade/workers/attempt_outcomes.py
+++ b/spindleglade/workers/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Updates the cluster state by the attempts that a heartbeat lists, and by those that it lacks."""
+"""Updates the cluster state from the attempts that a heartbeat lists and the placed ones that it lacks."""
 
 import logging
 from datetime import timedelta
@@ -105,8 +105,11 @@
                 self._changes.stop_attempt(attempt, StopReason.GANG_BROKEN, grace_period_s(job.spec))
 
     def on_attempt_missing(self, machine: Machine, attempt: Attempt, key: AttemptKey) -> None:
-        """Handles a placed attempt that the newest heartbeat under this token does not list. If no start of
-        it may be under way, it has ended, provided that it was listed before or is to be stopped."""
+        """Ends a placed attempt if its absence from the newest heartbeat under this token proves its end.
+
+        It does if the attempt was listed before or is to be stopped, unless a start of the attempt may still
+        be in flight or its placement is not recorded yet.
+        """
         if (
             attempt.starts_in_flight
             or attempt.start_sent_with_sequence is not None
--- a/spindleglade/workers/attempts.py
+++ b/spindleglade/workers/attempts.py
@@ -74,8 +74,8 @@
     running_since: timedelta | None = None
     # The number of starts that were sent directly to the machine and are not answered yet.
     starts_in_flight: int = 0
-    # The sequence number of the heartbeat whose response carried the start. None if no response has carried
-    # it, and again once a later heartbeat has shown whether the start was executed.
+    # The sequence number of the heartbeat that was answered with the start. None before that, and again once
+    # a later heartbeat has shown whether the start was executed.
     start_sent_with_sequence: int | None = None
     # How many starts sent in heartbeat responses were not executed.
     lost_starts: int = 0
@@ -85,7 +85,7 @@
     started_directly: bool = False
     # Whether its job was overdue when the plan that placed it was applied.
     started_overdue: bool = False
-    # Why the attempt is to be stopped (None: it is not), and how long it may then take to save.
+    # Why the attempt is to be stopped (None: it is not), and how many seconds it may then take to save.
     stop_reason: str | None = None
     grace_period_s: float = 0.0
     has_ended: bool = False
@@ -104,7 +104,8 @@
 
 @dataclass(slots=True, eq=False)
 class ExitedAttempt:
-    """An exited attempt that the worker still lists, and is told to forget once its end is recorded."""
+    """An exited attempt that the worker still lists. Once its end is recorded, the worker is told to forget
+    it, unless `never_forget` is set."""
 
     # None if the end of the attempt needs no record; `index` and `version` are unused then.
     job: "Job | None"
--- a/spindleglade/workers/cluster_data.py
+++ b/spindleglade/workers/cluster_data.py
@@ -29,7 +29,8 @@
     # The names of terminated machines, so that late heartbeats do not add them again. Names are never
     # removed, since there is no limit on how late a heartbeat or a list of machines may still contain one.
     terminated: set[str] = field(default_factory=set)
-    # When the latest heartbeat was received, by either path; late copies do not count.
+    # When the latest heartbeat was received, in a request of a worker or in a response to this leader. Late
+    # copies do not count.
     last_heartbeat_at: timedelta = field(init=False)
     # When a task was last placed; before that, the time of the election.
     latest_start: timedelta = field(init=False)
@@ -45,9 +46,9 @@
     # heartbeat, a committed write, an answered command, a stop. Examining every machine each time would take
     # a third of the leader's time after a restart. The order makes the same events lead to the same commands.
     dispatch_queue: dict[str, None] = field(default_factory=dict)
-    # Teams for which the predictor has got run times that are not yet stored.
+    # Teams with run times in the predictor that are not stored yet.
     teams_with_new_runs: set[str] = field(default_factory=set)
-    # Whether planning prefers on-demand machines to spot machines, or spot machines to on-demand ones.
+    # Whether planning prefers on-demand machines to spot machines. If false, it prefers spot machines.
     prefers_on_demand: bool = False
     # Incremented with each change that planning or the state writer may have to act on.
     change_count: int = 0
--- a/spindleglade/workers/cluster_state.py
+++ b/spindleglade/workers/cluster_state.py
@@ -112,7 +112,7 @@
         return self._machine_registry.is_silent(machine, now, limit)
 
     def take_direct_commands(self, starts: bool = True) -> list[DirectCommands]:
-        """Returns the commands that cannot wait for the next heartbeat; without `starts`, no starts."""
+        """Returns the commands that cannot wait for the next heartbeat; no starts if `starts` is false."""
         with self.lock:
             return self._commands.take_direct_commands(starts)
 
@@ -124,7 +124,8 @@
         now: timedelta,
         connected: bool = True,
     ) -> None:
-        """Records the outcome of direct commands: answered or never sent, unless `outcome_unknown`."""
+        """Records the outcome of direct commands. They were answered or never sent, unless `outcome_unknown`.
+        `connected` is false if no connection to the machine could be opened."""
         with self.lock:
             self._commands.on_commands_sent(machine, commands, outcome_unknown, now, connected)
 
@@ -149,7 +150,8 @@
     def observe_job(
         self, record: JobRecord, mod_revision: int, now: timedelta = ZERO, age: timedelta = ZERO
     ) -> None:
-        """Applies a job record, loaded after the election or observed as a later change."""
+        """Applies a job record, loaded after the election or observed as a later change. `age` is the time
+        since the job was accepted."""
         with self.lock:
             self._job_updates.observe_job(record, mod_revision, now, age)
 
@@ -159,7 +161,8 @@
             self._job_updates.cancel_through_dependency(job_id)
 
     def release_job(self, job_id: str, now: timedelta, age: timedelta) -> None:
-        """Lets the tasks of a job start, since all its dependencies were recorded as done `age` ago."""
+        """Lets the tasks of a job start, since all its dependencies are recorded as done. `age` is the time
+        since the last dependency was done, or since the job was accepted if that was later."""
         with self.lock:
             self._job_updates.release_job(job_id, now, age)
 
@@ -221,7 +224,11 @@
         max_background_operations: int | None = None,
         max_value_bytes: int | None = None,
     ) -> WriteBatch:
-        """Removes from the pending writes, and returns, as many as fit into one transaction."""
+        """Removes as many pending writes from the queue as fit into one transaction, and returns them.
+
+        `stored_revisions` maps the task range keys in the store to their modification revisions. The limits
+        are those of `TransactionLimits`.
+        """
         limits = TransactionLimits(max_operations, max_background_operations, max_value_bytes)
         with self.lock:
             return WriteCollection(
@@ -234,12 +241,13 @@
             self._write_queue.on_range_committed(job_id, first_task, version)
 
     def suspend_oversized_writes(self, batch: WriteBatch) -> None:
-        """Suspends a write that failed when tried alone, such as one that is too large, until it changes."""
+        """Suspends the single write of a batch that failed, such as one that is too large, until the write
+        changes."""
         with self.lock:
             self._write_queue.suspend_oversized(batch)
 
     def requeue(self, batch: WriteBatch) -> None:
-        """Queues the writes of a batch again, none of which was committed."""
+        """Puts back all writes of a batch that was not committed."""
         with self.lock:
             self._write_queue.requeue(batch)
 
@@ -269,6 +277,6 @@
         return self._usability.unusable_reason(machine, now)
 
     def scheduling_stall(self, now: timedelta) -> SchedulingStall | None:
-        """Why jobs with waiting tasks have no start, for the log; None if no job has waiting tasks."""
+        """Why waiting tasks are not started, for the log; None if no job has waiting tasks."""
         with self.lock:
             return self._usability.scheduling_stall(now)
--- a/spindleglade/workers/command_dispatcher.py
+++ b/spindleglade/workers/command_dispatcher.py
@@ -101,8 +101,8 @@
             run_in_background(self._send_commands(machine, incarnation, commands), "command dispatch")
 
     def introduce_leader(self, address: str, incarnation: int) -> None:
-        """Sends a machine the new token and requests the list of its tasks. It may not be sent commands
-        before it acknowledges the token, and its next heartbeat may be seconds away."""
+        """Sends a machine the new token and requests the list of its tasks. No command may be sent to the
+        machine before it acknowledges the token, and its next heartbeat may be seconds away."""
         if not self._stopped:
             run_in_background(self._introduce_leader(address, incarnation), "leader introduction")
 
--- a/spindleglade/workers/command_selection.py
+++ b/spindleglade/workers/command_selection.py
@@ -39,9 +39,12 @@
         self._changes = changes
 
     def commands_for(self, machine: Machine, sequence: int | None, starts: bool = True) -> list[Command]:
-        """Returns the commands to send to the machine now, and records their starts as under way. `sequence`
-        is the sequence number of the heartbeat that is answered, or None for a direct message. A start that
-        is already under way, by either path, is not selected again; without `starts` no start is."""
+        """Returns the commands to send to the machine now, and records the starts among them as in flight.
+
+        `sequence` is the sequence number of the heartbeat that is answered; None for a direct message. A
+        start that is already in flight, in a response or in a direct message, is not selected again. If
+        `starts` is false, no starts are selected.
+        """
         commands = self._pending_commands(machine)
         if not starts:
             return commands
@@ -103,9 +106,9 @@
         )
 
     def take_direct_commands(self, starts: bool) -> list[DirectCommands]:
-        """Returns the commands that cannot wait for the next heartbeat, and marks them as in flight. Without
-        `starts` no start is selected, because its job may have been cancelled without this leader's
-        knowledge. Stops are always safe to send."""
+        """Returns the commands that cannot wait for the next heartbeat, and marks them as in flight. If
+        `starts` is false, no starts are selected, because their jobs may have been cancelled without this
+        leader's knowledge. Stops are always safe to send."""
         selected = []
         queue = self._data.dispatch_queue
         names = list(queue)
--- a/spindleglade/workers/heartbeat_balancer.py
+++ b/spindleglade/workers/heartbeat_balancer.py
@@ -16,7 +16,8 @@
 LEADER_WEIGHT = 0.5
 # Maximum number of workers redirected before the loads are compared again.
 MAX_REDIRECTS = 8
-# Workers are redirected only if the excess is at least this many plus this fraction of the controller's own.
+# Workers are redirected only if the excess is at least this many workers plus this fraction of the
+# controller's own workers.
 MIN_EXCESS_WORKERS = 3
 MIN_EXCESS_SHARE = 0.1
 # A worker counts as the controller's own for this many heartbeat intervals after its latest heartbeat.
--- a/spindleglade/workers/heartbeat_reconciliation.py
+++ b/spindleglade/workers/heartbeat_reconciliation.py
@@ -1,7 +1,7 @@
 """Compares heartbeats with the placed attempts, updates the cluster state and selects the responses.
 
-A placed task waits again only on proof that its attempt is off the machine; silence proves nothing. Proof is
-one of:
+A placed task returns to waiting only on proof that its attempt is no longer on the machine. Silence proves
+nothing. The proof is one of:
 - a heartbeat of the same incarnation under this leader's own token, newer than the last one, that shows the
   attempt exited, or does not list it while no start of it can be in flight
 - a heartbeat of a newer incarnation
@@ -41,7 +41,8 @@
         its lease must expire.
 
         `renews_lease` is true if the worker sent the heartbeat in a request of its own: the response
-        renews the worker's lease and may carry commands. It is false for a status that the leader requested.
+        renews the worker's lease and may carry commands. It is false for a status that the leader requested,
+        and while the leader may not renew leases.
         """
         if heartbeat.token > self._data.token:
             raise StaleTokenError(heartbeat.machine, heartbeat.token, self._data.token)
@@ -182,7 +183,8 @@
             machine.acknowledged_token = True
 
     def _observe_termination_notice(self, machine: Machine, warning_s: float | None, now: timedelta) -> None:
-        """Applies a notice that the cloud terminates the machine in `warning_s` seconds; None: no notice."""
+        """Applies the termination notice of a heartbeat: the cloud terminates the machine in `warning_s`
+        seconds. None: the heartbeat has no notice, and an earlier notice no longer applies."""
         if warning_s is None:
             machine.terminates_at = None
             return
@@ -203,8 +205,8 @@
         has_current_token: bool,
         now: timedelta,
     ) -> None:
-        """Compares the placed attempts with the listed ones, and removes them from `unmatched`. `sequence` is
-        None if the heartbeat renews no lease."""
+        """Compares the placed attempts with the listed ones, and removes the placed ones from `unmatched`.
+        `sequence` is the sequence number of the heartbeat; None if the heartbeat renews no lease."""
         for attempt in list(machine.placed.values()):
             if attempt.incarnation < machine.incarnation:
                 self._changes.end_attempt(attempt, EndReason.INCARNATION_ENDED)
--- a/spindleglade/workers/isolation_detector.py
+++ b/spindleglade/workers/isolation_detector.py
@@ -1,4 +1,4 @@
-"""Detects that only this controller is isolated, and its workers should use another controller."""
+"""Detects that only this controller is isolated, so that its workers should use another controller."""
 
 from collections.abc import Callable
 from datetime import timedelta
--- a/spindleglade/workers/job_updates.py
+++ b/spindleglade/workers/job_updates.py
@@ -1,4 +1,4 @@
-"""Updates the jobs in memory by their records in the store and by the jobs that they depend on."""
+"""Updates the jobs in memory from their records in the store and from the jobs that they depend on."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -61,7 +61,7 @@
 
     def release_job(self, job_id: str, now: timedelta, age: timedelta) -> None:
         """Lets the tasks of a job start, since all its dependencies are recorded as done. `age` is the time
-        since the last of them was."""
+        since the last dependency was done, or since the job was accepted if that was later."""
         job = self._data.jobs.get(job_id)
         if job is not None and not job.released:
             job.released = True
--- a/spindleglade/workers/jobs.py
+++ b/spindleglade/workers/jobs.py
@@ -105,7 +105,8 @@
         self.paused_until = timedelta(0)
         # The length of the latest pause; 0 before the first one, and again once a task is done.
         self.backoff = timedelta(0)
-        # Machines on which tasks failed since the latest pause, and all on which tasks failed.
+        # The names of the machines on which tasks failed since the latest pause, and of all machines on which
+        # tasks failed.
         self.avoided_machines: set[str] = set()
         self.failed_on: set[str] = set()
         # Whether all dependencies are done. No task of the job may start before that.
--- a/spindleglade/workers/machine_registry.py
+++ b/spindleglade/workers/machine_registry.py
@@ -1,4 +1,4 @@
-"""Updates machines by the information of the cloud and of the peers."""
+"""Updates machines from the information of the cloud and of the peers."""
 
 import logging
 from collections.abc import Iterable
@@ -31,9 +31,9 @@
         del self._data.machines[name]
 
     def observe_listed_machines(self, locations: Iterable[MachineLocation]) -> None:
-        """Adds the addresses in the cloud's list of running machines to machines without one, which have not
-        sent this leader a heartbeat. Their status can be requested then. Otherwise a machine that failed
-        together with the former leader would be waited for until a whole lease has passed."""
+        """Sets the addresses of machines that have not sent this leader a heartbeat, from the cloud's list of
+        running machines. The leader can then request the status of these machines. Otherwise it would wait a
+        whole lease before it gives up a machine that failed together with the former leader."""
         for name, address, zone in locations:
             machine = self._data.machines.get(name)
             if machine is not None and not machine.address:
--- a/spindleglade/workers/machine_usability.py
+++ b/spindleglade/workers/machine_usability.py
@@ -1,4 +1,4 @@
-"""Determines whether tasks may be started on a machine, and why jobs have no start."""
+"""Determines whether tasks may be started on a machine, and why waiting tasks are not started."""
 
 from collections import Counter
 from datetime import timedelta
@@ -49,7 +49,7 @@
         return self._data.policy.is_recent(renewed_at, now)
 
     def scheduling_stall(self, now: timedelta) -> SchedulingStall | None:
-        """Why jobs with waiting tasks have no start, for the log; None if no job has waiting tasks."""
+        """Why waiting tasks are not started, for the log; None if no job has waiting tasks."""
         used = self._used_by_team()
         pending = Counter(
             self._pending_reason(job, used, now)
--- a/spindleglade/workers/machines.py
+++ b/spindleglade/workers/machines.py
@@ -67,7 +67,8 @@
     last_response_at: timedelta | None = None
     # The tasks that its latest heartbeat lists.
     tasks: list[TaskStatus] = field(default_factory=list)
-    # The first heartbeat since which nothing has been placed on the machine; None while something is placed.
+    # Since when the machine has been idle, from the first heartbeat without a placed attempt; None while an
+    # attempt is placed.
     idle_since: timedelta | None = None
     # When the cloud terminates it, as announced by a heartbeat; None without an announcement.
     terminates_at: timedelta | None = None
--- a/spindleglade/workers/planning_bridge.py
+++ b/spindleglade/workers/planning_bridge.py
@@ -18,8 +18,8 @@
 
 log = logging.getLogger("spindleglade.workers")
 
-# A planning pass is offered only as many tasks of a job as would fill this number of machines of the largest
-# type.
+# Limits the waiting tasks of a job that a planning pass is offered to about as many as fill the CPUs of this
+# number of machines of the largest type. A gang is always offered whole.
 MAX_MACHINES_FILLED_PER_PASS = 64
 
 # The names of the machines that a waiting task must not be placed on, by job ID and task number.
@@ -35,8 +35,8 @@
         self._usability = usability
 
     def set_machine_types(self, machine_types: dict[str, MachineTypeCapacity]) -> None:
-        """Sets the capacities of the machine types. The planning views of all machines are built again:
-        that of a machine that registered before its type was known has no capacity."""
+        """Sets the capacities of the machine types. The planning views of all machines are built again,
+        because the view of a machine that registered before its type was known has no capacity."""
         if machine_types == self._data.machine_types:
             return
         self._data.machine_types = machine_types
@@ -112,7 +112,8 @@
         )
 
     def _collect_excluded_machines(self, machine: Machine, excluded: ExcludedMachines) -> None:
-        """Excludes the machine for waiting tasks of which it has not yet forgotten an earlier attempt."""
+        """Excludes the machine for each waiting task with an earlier attempt that the machine has not
+        forgotten yet, or with an earlier start that may still arrive there."""
         for task, _ in [*machine.exited, *machine.unacknowledged_starts]:
             job_id, index = split_task(task)
             job = self._data.jobs.get(job_id)
--- a/spindleglade/workers/policy.py
+++ b/spindleglade/workers/policy.py
@@ -12,9 +12,9 @@
 
     lease: timedelta
     heartbeat_interval: timedelta
-    # A machine is quarantined once tasks of so many jobs have failed on it.
+    # A machine is quarantined once tasks of this many jobs have failed on it.
     quarantine_after_failed_jobs: int
-    # The length of the first pause of a failing job, and that of the longest.
+    # The length of the first pause of a failing job, and the length of the longest one.
     backoff: timedelta
     max_backoff: timedelta
     # A job with waiting tasks is overdue once it has had no start for this long.
--- a/spindleglade/workers/reasons.py
+++ b/spindleglade/workers/reasons.py
@@ -1,4 +1,4 @@
-"""The reasons why machines are unusable and jobs have no start, as they appear in the log."""
+"""The reasons why machines are unusable and waiting tasks are not started, as they appear in the log."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 
 class PendingReason(StrEnum):
-    """Why a job with waiting tasks has no start."""
+    """Why the waiting tasks of a job are not started."""
 
     DEPENDENCIES = "dependencies"
     PAUSED = "paused after failures"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class SchedulingStall:
-    """The state of the scheduler while jobs with waiting tasks have no start."""
+    """The state of the scheduler while waiting tasks are not started."""
 
     # The number of jobs with waiting tasks, by reason.
     pending_jobs: Counter[PendingReason]
--- a/spindleglade/workers/state_changes.py
+++ b/spindleglade/workers/state_changes.py
@@ -64,7 +64,8 @@
         self.mark_task_changed(job, attempt.index)
 
     def end_unsent_attempts(self, job: Job, reason: EndReason) -> None:
-        """Ends the attempts with an unrecorded start, which was never sent and now will not be sent."""
+        """Ends the job's attempts with a placement that is not recorded yet. Their starts have not been sent
+        and now will not be sent."""
         for attempt in list(job.placed.values()):
             if not attempt.is_confirmed and not attempt.is_recorded:
                 self.end_attempt(attempt, reason)
@@ -85,9 +86,9 @@
         log.info("job done job=%s", job.id)
 
     def mark_unreachable(self, machine: Machine, now: timedelta, reason: str) -> None:
-        """Marks a machine as unreachable because its heartbeats do not show that commands reach it. Nothing
-        more is placed there until there is a sign that they do. Its tasks are moved only on proof that they
-        have ended."""
+        """Marks a machine as unreachable because its heartbeats do not show that commands reach it. No task
+        is placed there until there is evidence that commands reach the machine. Its tasks are moved only on
+        proof that they have ended."""
         if machine.unreachable_since is None:
             log.info("machine unreachable machine=%s reason=%s", machine.name, reason)
             machine.unreachable_since = now
--- a/spindleglade/workers/state_recovery.py
+++ b/spindleglade/workers/state_recovery.py
@@ -108,7 +108,8 @@
         self._changes.mark_machine_changed(machine)
 
     def finish_loading(self) -> None:
-        """Queues what a former leader left undone. Called once all stored task ranges are loaded."""
+        """Queues the writes that a former leader left undone, and continues to probe the jobs that it was
+        probing. Called once all stored task ranges are loaded."""
         for job in list(self._data.jobs.values()):
             if job.is_complete and job.is_open:
                 self._data.pending_writes[TaskRangeId(job.id, 0)] = None
--- a/spindleglade/workers/test_command_dispatcher.py
+++ b/spindleglade/workers/test_command_dispatcher.py
@@ -22,8 +22,8 @@
 
 @pytest.mark.parametrize("error", [ConnectionLimitError, NotSentError, NoResponseError])
 def test_commands_not_sent_for_lack_of_connections_make_no_machine_unreachable(error):
-    """They are sent with the response to the next heartbeat instead. The machine may be reachable: the limit
-    of connections is that of this controller."""
+    """The commands are sent with the response to the next heartbeat instead. The machine may be reachable,
+    since the limit of connections is that of this controller."""
 
     class Http:
         async def request(self, *arguments):
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -138,13 +138,13 @@
     assert [job for job, *_ in batch.ranges] == ["job-1"] and [job for job, _, _ in batch.done] == ["job-2"]
 
 
-@pytest.mark.parametrize("fate", ["ok", "not applied", "response lost"])
-def test_dependents_are_notified_of_an_end_only_once_the_store_holds_it(fate):
+@pytest.mark.parametrize("outcome", ["ok", "not applied", "response lost"])
+def test_dependents_are_notified_of_an_end_only_once_the_store_holds_it(outcome):
     """A heartbeat that shows the end is not enough: no start may precede the record of the end that it
     depends on. If the response to that write is lost, the end is known once the record is read back."""
     harness, clock, observed = Harness(), ManualClock(), []
     complete_job(harness, "job-1")
-    store = Store([fate])
+    store = Store([outcome])
     store.values[job_key("job-1")] = encode_value(JobRecord("done", spec(), 1))
     writer = StateWriter(
         harness.cluster,
@@ -157,11 +157,11 @@
         ),
     )
     writer.start()
-    assert bool(observed) == (fate == "ok")
+    assert bool(observed) == (outcome == "ok")
     for _ in range(20):
         clock.advance(seconds(0.1))
     assert observed[0][:2] == (job_key("job-1"), 11)
-    assert (b'"finished"' in observed[0][2]) == (fate != "response lost")
+    assert (b'"finished"' in observed[0][2]) == (outcome != "response lost")
 
 
 class Replica:
--- a/spindleglade/workers/test_heartbeats.py
+++ b/spindleglade/workers/test_heartbeats.py
@@ -55,7 +55,8 @@
 
 
 def test_a_late_copy_of_a_heartbeat_renews_no_lease_and_reports_no_renewal():
-    """Otherwise a dead machine would count as alive when its heartbeats come again, and its tasks wait."""
+    """Otherwise a dead machine would count as alive when copies of its heartbeats arrive, and its tasks would
+    not be placed again."""
     follower = Follower()
     assert follower.heartbeat(5) == 200 and follower.api.renewed_without_leader == {"n-1": timedelta(0)}
     follower.clock.advance(seconds(8))
--- a/spindleglade/workers/test_reasons.py
+++ b/spindleglade/workers/test_reasons.py
@@ -1,4 +1,4 @@
-"""The reasons why machines are unusable and jobs have no start, as they appear in the log."""
+"""The reasons why machines are unusable and waiting tasks are not started, as they appear in the log."""
 
 import pytest
 
--- a/spindleglade/workers/test_state_writer_sequences.py
+++ b/spindleglade/workers/test_state_writer_sequences.py
@@ -39,10 +39,10 @@
 
     async def request(self, method, address, path, body=None, timeout=None):
         model = self.model
-        fate = model.fates.pop(0) if model.fates else "ok"
-        if fate == "not applied":
+        outcome = model.outcomes.pop(0) if model.outcomes else "ok"
+        if outcome == "not applied":
             return ClientResponse(503, b"{}")
-        if fate == "delayed":
+        if outcome == "delayed":
             if method == "POST":
                 model.delayed_requests.append((method, path, body))
             raise NoResponseError("timed out")
@@ -52,9 +52,9 @@
             rejected = (model.token, msgspec.json.encode(msgspec.json.decode(body)["writes"]))
             assert rejected not in model.rejected_writes, "rejected writes were sent again unchanged"
             model.rejected_writes.append(rejected)
-        if fate == "response lost":
+        if outcome == "response lost":
             raise NoResponseError("timed out")
-        if fate == "slow":
+        if outcome == "slow":
             waiter = Deferred()
             model.clock.later(seconds(1), waiter.callback, None)
             await waiter
@@ -63,10 +63,10 @@
 
 ANY_JOB, ANY_MACHINE = st.sampled_from(["job-1", "job-2"]), st.sampled_from(["n-1", "n-2"])
 INDICES = st.sets(st.integers(0, 4), min_size=1)
-FATES = st.lists(st.sampled_from(["ok", "slow", "not applied", "response lost", "delayed"]), max_size=5)
+OUTCOMES = st.lists(st.sampled_from(["ok", "slow", "not applied", "response lost", "delayed"]), max_size=5)
 
 
-class RecordsStory(RuleBasedStateMachine):
+class StateWriterSequences(RuleBasedStateMachine):
     """Successive leaders with their state writers, a state service with late, lost and rejecting responses,
     users who cancel jobs, and workers that execute commands.
 
@@ -75,7 +75,7 @@
     """
 
     SIZES = {"job-1": 5, "job-2": 1}
-    CHUNK = 2
+    RANGE_SIZE = 2
     LIMITS = StateLimits(1e4, 1e4, 16.0, 12)
     # How many tasks are placed at a time, and end at a time, while `teardown` completes all jobs.
     AT_ONCE = 9
@@ -84,15 +84,16 @@
         super().__init__()
         self.clock = ManualClock()
         self.service = StateService(self.clock)
-        self.fates, self.delayed_requests, self.observed_changes, self.rejected_writes = [], [], 0, []
+        self.outcomes, self.delayed_requests, self.observed_changes, self.rejected_writes = [], [], 0, []
         self.machines = {name: {} for name in ("n-1", "n-2")}
         self.incarnations = dict.fromkeys(self.machines, 1)
         self.sequences = dict.fromkeys(self.machines, 0)
         self.tokens = dict.fromkeys(self.machines, 0)
-        self.done, self.given, self.final_states = set(), {}, {}
+        # `started` holds the machine on which each attempt was started, by task name and attempt number.
+        self.done, self.started, self.final_states = set(), {}, {}
         self.token, self.writer = 0, None
         for job, tasks in self.SIZES.items():
-            self.write(job_key(job), JobRecord("open", spec(job, tasks), self.CHUNK))
+            self.write(job_key(job), JobRecord("open", spec(job, tasks), self.RANGE_SIZE))
         self.start_leader()
 
     def write(self, key, value):
@@ -163,7 +164,7 @@
         for command in commands:
             key, attempts = (command.task, command.attempt), self.machines[machine]
             if command.operation == "start" and key not in attempts:
-                assert self.given.setdefault(key, machine) == machine, "an attempt started on two machines"
+                assert self.started.setdefault(key, machine) == machine, "an attempt started on two machines"
                 attempts[key] = ("exited", "done") if command.task in self.done else ("running",)
             elif command.operation == "stop" and attempts.get(key) == ("running",):
                 attempts[key] = ("exited", "halted")
@@ -172,26 +173,26 @@
                 del attempts[key]
         self.writer.wake()
 
-    @rule(job=ANY_JOB, indices=INDICES, to=ANY_MACHINE, fates=FATES)
-    def place(self, job, indices, to, fates):
+    @rule(job=ANY_JOB, indices=INDICES, to=ANY_MACHINE, outcomes=OUTCOMES)
+    def place(self, job, indices, to, outcomes):
         # The machine may learn the new token only from the response to the first heartbeat.
         self.report(to)
         self.report(to)
-        self.fates = fates
+        self.outcomes = outcomes
         if job in self.cluster.jobs:
             starts = [Placement(job, index, to) for index in sorted(indices) if index < self.SIZES[job]]
             self.cluster.apply_plan(Plan(placements=starts), self.clock.now())
             self.wait(0.01)
             self.report(to)
 
-    @rule(machine=ANY_MACHINE, fates=FATES, most=st.integers(1, 3))
-    def tasks_end(self, machine, fates, most):
+    @rule(machine=ANY_MACHINE, outcomes=OUTCOMES, max_tasks=st.integers(1, 3))
+    def tasks_end(self, machine, outcomes, max_tasks):
         running = [key for key, status in self.machines[machine].items() if status == ("running",)]
-        for key in running[:most]:
+        for key in running[:max_tasks]:
             self.machines[machine][key] = ("exited", "done")
             self.done.add(key[0])
         if running:
-            self.fates = fates
+            self.outcomes = outcomes
             self.report(machine)
 
     @rule(machine=ANY_MACHINE)
@@ -245,7 +246,7 @@
             self.wait(2.0)
 
     def teardown(self):
-        self.fates = []
+        self.outcomes = []
         self.settle()
         assert not self.deposed
         for job in self.cluster.jobs.values():
@@ -282,5 +283,5 @@
         assert not any(self.machines.values())
 
 
-TestRecordsStory = RecordsStory.TestCase
-TestRecordsStory.settings = settings(max_examples=300, stateful_step_count=100)
+TestStateWriterSequences = StateWriterSequences.TestCase
+TestStateWriterSequences.settings = settings(max_examples=300, stateful_step_count=100)
--- a/spindleglade/workers/test_task_range_splitting.py
+++ b/spindleglade/workers/test_task_range_splitting.py
@@ -18,7 +18,12 @@
 from spindleglade.workers.jobs import DONE
 from spindleglade.workers.messages import Heartbeat, split_task
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
-from spindleglade.workers.test_state_writer_sequences import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
+from spindleglade.workers.test_state_writer_sequences import (
+    ANY_JOB,
+    ANY_MACHINE,
+    OUTCOMES,
+    StateWriterSequences,
+)
 from tests.cluster_harness import TOKEN, make_cluster, spec
 from tests.fakes.state_service import StateService
 
@@ -29,14 +34,14 @@
 )
 
 
-class SplittingSequences(RecordsStory):
+class SplittingSequences(StateWriterSequences):
     """The sequences of the base class, with task ranges that exceed the lowered limits, which take effect at
     any time. After each change of the store, a new leader and the followers know every placement, every
     attempt number and every end after which a worker has forgotten the attempt, in whichever order they read
     the keys."""
 
     SIZES = {"job-1": 100, "job-2": 40}
-    CHUNK = 64
+    RANGE_SIZE = 64
     LIMITS = StateLimits(1e4, 1e4, 16.0, 12, LOWER_LIMITS)
     AT_ONCE = 100
 
@@ -51,13 +56,13 @@
 
         self.service._write = write
 
-    @rule(job=ANY_JOB, indices=INDEX_RANGES, to=ANY_MACHINE, fates=FATES)
-    def place(self, job, indices, to, fates):
-        super().place(job, indices, to, fates)
+    @rule(job=ANY_JOB, indices=INDEX_RANGES, to=ANY_MACHINE, outcomes=OUTCOMES)
+    def place(self, job, indices, to, outcomes):
+        super().place(job, indices, to, outcomes)
 
-    @rule(machine=ANY_MACHINE, fates=FATES, most=st.integers(1, 70))
-    def tasks_end(self, machine, fates, most):
-        super().tasks_end(machine, fates, most)
+    @rule(machine=ANY_MACHINE, outcomes=OUTCOMES, max_tasks=st.integers(1, 70))
+    def tasks_end(self, machine, outcomes, max_tasks):
+        super().tasks_end(machine, outcomes, max_tasks)
 
     @rule(machine=ANY_MACHINE)
     def report(self, machine):
@@ -100,7 +105,7 @@
                     assert (view.done_count, view.running) == (job.done, len(job.placed))
             if not job.is_open:
                 continue
-            for task, attempt in self.given:
+            for task, attempt in self.started:
                 name, index = split_task(task)
                 if name == job.id:
                     assert job.task_states[index] == DONE or job.attempts.get(index, 0) >= attempt, task
@@ -204,7 +209,7 @@
 
 
 def test_what_was_recorded_before_a_split_stays_recorded():
-    """Otherwise starts that may be under way would count as never sent when their job is cancelled."""
+    """Otherwise starts that may be in flight would count as never sent when their job is cancelled."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
     cluster._changes.mark_task_changed(job, 0)
@@ -228,7 +233,7 @@
 
 
 def test_an_empty_overflow_range_is_written():
-    """Without it the stale entries in the value of the range to its left would apply to its tasks again."""
+    """Without it the stale entries in the value of the range before it would apply to its tasks again."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
     cluster._changes.mark_task_changed(job, 0)
--- a/spindleglade/workers/write_batch.py
+++ b/spindleglade/workers/write_batch.py
@@ -51,11 +51,12 @@
 class WriteBatch:
     """The contents of one transaction."""
 
-    # The order matters: a range follows the overflow ranges to its right that are not in the store yet.
+    # The order matters: a task range comes after the overflow ranges that follow it in the job and are not in
+    # the store yet.
     ranges: list[TaskRangeWrite] = field(default_factory=list)
     done: list[CompletedJobWrite] = field(default_factory=list)
     removed: list[TaskRangeRemoval] = field(default_factory=list)
-    # Ids of the jobs that can be forgotten once the removals are committed.
+    # IDs of the jobs that can be forgotten once the removals are committed.
     finished_jobs: dict[str, None] = field(default_factory=dict)
 
     @property
--- a/spindleglade/workers/write_collection.py
+++ b/spindleglade/workers/write_collection.py
@@ -161,8 +161,9 @@
         ]
 
     def _collect_task_range(self, job: Job, first_task: int, max_operations: int) -> None:
-        """Adds a task range, preceded by the overflow ranges to its right that the store does not hold yet.
-        Its new value no longer covers their tasks, so it must not be stored without them."""
+        """Adds a task range, preceded by the overflow ranges directly after it that the store does not hold
+        yet. The new value of the task range no longer covers the tasks of these overflow ranges, so it must
+        not be stored without them."""
         collected = {write.first_task for write in self._batch.ranges if write.job == job.id}
         if first_task in collected:
             return
@@ -180,8 +181,8 @@
             self._batch.ranges.append(write)
 
     def _range_writes(self, job: Job, first_task: int, collected: set[int]) -> list[TaskRangeWrite]:
-        """The writes of a task range and of the overflow ranges to its right that are not stored yet, from
-        left to right. Ranges above the size limit are split first, as far as possible."""
+        """The writes of a task range and of the overflow ranges directly after it that are not stored yet, in
+        the order of their tasks. Ranges above the size limit are split first, as far as possible."""
         writes: list[TaskRangeWrite] = []
         while True:
             write = _encode_range_write(job, first_task)
@@ -222,7 +223,7 @@
     is_overflow = job.ranges.is_overflow(first_task)
     record = job.encode_range(first_task)
     if record is None and is_overflow:
-        # An empty overflow range is stored as well: without it, the stale entries of the range to its left
+        # An empty overflow range is stored as well: without it, the stale entries of the range before it
         # would count again.
         record = TaskRangeRecord()
     # The record of a cancelled job is no longer a condition. An overflow range of such a job requires its
