--- a/spindleglade/controller/pipelines.py
+++ b/spindleglade/controller/pipelines.py
@@ -13,7 +13,7 @@
 from spindleglade.runtime.clock import ZERO, Clock, seconds
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.cluster_state import ClusterState
-from spindleglade.workers.jobs import ChainMember
+from spindleglade.workers.jobs import PipelineMember
 
 # The shortest time for which changes in the graph are collected before the urgencies are computed again.
 MIN_URGENCY_UPDATE_DELAY = seconds(0.2)
@@ -94,7 +94,7 @@
         if self._stopped:
             return
         started_at = self._clock.now()
-        members = self._cluster.chain_members(self._views.graph.members())
+        members = self._cluster.pipeline_members(self._views.graph.members())
         jobs = {name: self._chained_job(name, member) for name, member in members.items()}
         for name, urgency in urgencies(jobs).items():
             latest_start = _latest_start(jobs[name], urgency.deadline)
@@ -104,7 +104,7 @@
         duration = self._clock.now() - started_at
         self._urgency_update_delay = max(MIN_URGENCY_UPDATE_DELAY, duration / MAX_URGENCY_UPDATE_SHARE)
 
-    def _chained_job(self, name: str, member: ChainMember) -> ChainedJob:
+    def _chained_job(self, name: str, member: PipelineMember) -> ChainedJob:
         expected = self._predictor.expected(member.team, member.estimate)
         return ChainedJob(member.rank, member.deadline, expected, self._views.graph.dependents(name))
 
--- a/spindleglade/leadership/test_election.py
+++ b/spindleglade/leadership/test_election.py
@@ -123,7 +123,7 @@
     assert not deployment.controllers[name].is_leader and deployment.leader() not in (None, leader)
 
 
-def test_an_election_during_a_campaign_is_not_taken_for_the_vacancy():
+def test_a_campaign_does_not_depose_a_leader_elected_in_the_meantime():
     """Another controller is elected while this one's lease is being granted. The transaction must be
     conditional on the vacant leader key, or it would depose the new leader at once."""
 
--- a/spindleglade/workers/cluster_state.py
+++ b/spindleglade/workers/cluster_state.py
@@ -19,7 +19,7 @@
 from spindleglade.workers.command_selection import CommandSelection, DirectCommands
 from spindleglade.workers.heartbeat_reconciliation import HeartbeatReconciliation
 from spindleglade.workers.job_updates import JobUpdates
-from spindleglade.workers.jobs import ChainMember, Job
+from spindleglade.workers.jobs import Job, PipelineMember
 from spindleglade.workers.machine_registry import MachineRegistry
 from spindleglade.workers.machine_usability import MachineUsability
 from spindleglade.workers.machines import Machine, MachineLocation, MachineReachability, MachineTypeCapacity
@@ -171,10 +171,10 @@
         with self.lock:
             self._job_updates.set_has_dependents(job_id, has_dependents)
 
-    def chain_members(self, names: Iterable[str]) -> dict[str, ChainMember]:
-        """The pipeline properties of those of the named jobs that are open, by job ID."""
+    def pipeline_members(self, names: Iterable[str]) -> dict[str, PipelineMember]:
+        """The properties that urgencies are computed from, for each named job that is open, by job ID."""
         with self.lock:
-            return self._job_updates.chain_members(names)
+            return self._job_updates.pipeline_members(names)
 
     def set_urgency(self, job_id: str, rank: int, latest_start: timedelta | None) -> None:
         """Sets the rank and the latest start that the job inherits from its dependents."""
@@ -187,7 +187,7 @@
             self._job_updates.on_job_recorded_done(job_id, mod_revision)
 
     def forget_job(self, job_id: str) -> None:
-        """Removes a job that is over from memory, once its task ranges are removed from the store."""
+        """Removes a done or cancelled job from memory, once its task ranges are removed from the store."""
         with self.lock:
             self._job_updates.forget_job(job_id)
 
--- a/spindleglade/workers/job_updates.py
+++ b/spindleglade/workers/job_updates.py
@@ -7,7 +7,7 @@
 from spindleglade.submissions.records import JobRecord, JobState
 from spindleglade.workers.attempts import EndReason, StopReason
 from spindleglade.workers.cluster_data import ClusterData
-from spindleglade.workers.jobs import ChainMember, Job, estimate
+from spindleglade.workers.jobs import Job, PipelineMember, estimate
 from spindleglade.workers.state_changes import StateChanges
 
 
@@ -42,7 +42,7 @@
         if job.spec.deadline_s is not None:
             job.deadline = accepted_at + timedelta(seconds=job.spec.deadline_s)
         self._data.change_count += 1
-        # A job that was over and forgotten before the replica observed this record is forgotten again.
+        # A job that was cancelled and forgotten before the replica observed this record is forgotten again.
         self._changes.queue_removal(job)
 
     def cancel_through_dependency(self, job_id: str) -> None:
@@ -76,11 +76,11 @@
         if job is not None:
             job.has_dependents = has_dependents
 
-    def chain_members(self, names: Iterable[str]) -> dict[str, ChainMember]:
-        """The pipeline properties of those of the named jobs that are open, by job ID."""
+    def pipeline_members(self, names: Iterable[str]) -> dict[str, PipelineMember]:
+        """The properties that urgencies are computed from, for each named job that is open, by job ID."""
         jobs = [self._data.jobs[name] for name in names if name in self._data.jobs]
         return {
-            job.id: ChainMember(RANK[job.spec.priority], job.deadline, job.spec.team, estimate(job.spec))
+            job.id: PipelineMember(RANK[job.spec.priority], job.deadline, job.spec.team, estimate(job.spec))
             for job in jobs
             if job.is_open
         }
@@ -106,7 +106,7 @@
             self._changes.finish_job(job)
 
     def forget_job(self, job_id: str) -> None:
-        """Removes a job that is over from memory, once its task ranges are removed from the store."""
+        """Removes a done or cancelled job from memory, once its task ranges are removed from the store."""
         job = self._data.jobs.get(job_id)
         if job is not None and not job.is_open and not job.placed:
             job.mark_all_committed()
--- a/spindleglade/workers/jobs.py
+++ b/spindleglade/workers/jobs.py
@@ -36,7 +36,7 @@
     return spec.save_s + GRACE_PERIOD_MARGIN_S if spec.checkpoint_s > 0 else 0.0
 
 
-class ChainMember(NamedTuple):
+class PipelineMember(NamedTuple):
     """The properties of an open job that the urgencies of its pipelines are computed from."""
 
     rank: int
--- a/spindleglade/workers/state_changes.py
+++ b/spindleglade/workers/state_changes.py
@@ -71,7 +71,8 @@
                 self.end_attempt(attempt, reason)
 
     def queue_removal(self, job: Job) -> None:
-        """Queues the removal of a finished job's stored task ranges, if none of its tasks is on a machine."""
+        """Queues the removal of the stored task ranges of a job that is done or cancelled, if none of its
+        tasks is placed."""
         if not job.is_open and not job.placed:
             self._data.pending_writes[TaskRangeId(job.id, 0)] = None
 
--- a/spindleglade/workers/state_writer.py
+++ b/spindleglade/workers/state_writer.py
@@ -143,11 +143,11 @@
         return await self._client.compare_and_swap(transaction.conditions, transaction.changes)
 
     def _on_nothing_to_write(self, batch: WriteBatch) -> None:
-        self._forget_finished_jobs(batch)
+        self._forget_jobs(batch)
         if self._cluster.pending_writes:
             # Only background changes are left; they are gathered until the store has capacity to spare.
             self._pause = BACKGROUND_WRITE_DELAY
-        elif not batch.finished_jobs:
+        elif not batch.forgettable_jobs:
             self._pause = None
 
     def _on_not_committed(self, batch: WriteBatch, error: NotAppliedError | OutcomeUnknownError) -> None:
@@ -182,10 +182,10 @@
             self._events.on_record_observed(job_key(job), bytes(encode_value(record)), revision)
         for _, key in batch.removed:
             self._mod_revisions.pop(key, None)
-        self._forget_finished_jobs(batch)
+        self._forget_jobs(batch)
 
-    def _forget_finished_jobs(self, batch: WriteBatch) -> None:
-        for job in batch.finished_jobs:
+    def _forget_jobs(self, batch: WriteBatch) -> None:
+        for job in batch.forgettable_jobs:
             self._cluster.forget_job(job)
 
     async def _read_conflicting_keys(self, result: ConditionFailed) -> None:
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -100,7 +100,7 @@
     harness.cluster.cancel_through_dependency("job-2")
     assert set(planned_jobs(harness)) == {"job-1"}
     batch = harness.cluster.collect_writes(9, {})
-    assert list(batch.finished_jobs) == ["job-2"] and batch.size == 0
+    assert list(batch.forgettable_jobs) == ["job-2"] and batch.size == 0
     harness.cluster.forget_job("job-2")
     # A cancelled job is never released, and a release does not add a forgotten job again.
     harness.cluster.release_job("job-2", harness.now, timedelta(0))
--- a/spindleglade/workers/test_heartbeat_reconciliation.py
+++ b/spindleglade/workers/test_heartbeat_reconciliation.py
@@ -111,7 +111,7 @@
     assert harness.cluster.is_usable(machine, harness.now)
 
 
-def test_a_machine_that_executes_no_starts_is_unreachable_until_one_shows():
+def test_a_machine_that_executes_no_starts_is_unreachable_until_one_is_listed():
     harness = Harness()
     harness.send_heartbeat()
     harness.place()
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -210,13 +210,13 @@
     cluster = cluster_with_start_of_a_done_job()
     assert not cluster.machines["n-0000000231"].placed
     batch = cluster.collect_writes(9, {})
-    assert batch.size == 0 and list(batch.finished_jobs) == ["job-1"]
+    assert batch.size == 0 and list(batch.forgettable_jobs) == ["job-1"]
 
 
 def test_a_cancellation_seen_after_the_job_was_forgotten_is_forgotten_too():
     cluster = make_cluster()
     cluster.observe_job(JobRecord("aborted", spec(tasks=1), 256), 4)
-    assert list(cluster.collect_writes(9, {}).finished_jobs) == ["job-1"]
+    assert list(cluster.collect_writes(9, {}).forgettable_jobs) == ["job-1"]
     cluster.forget_job("job-1")
     assert not cluster.jobs
 
--- a/spindleglade/workers/write_batch.py
+++ b/spindleglade/workers/write_batch.py
@@ -41,7 +41,7 @@
 
 
 class TaskRangeRemoval(NamedTuple):
-    """The removal of the key of one task range of a finished job."""
+    """The removal of the key of one task range of a job that is done or cancelled."""
 
     job: str
     key: str
@@ -57,7 +57,7 @@
     done: list[CompletedJobWrite] = field(default_factory=list)
     removed: list[TaskRangeRemoval] = field(default_factory=list)
     # IDs of the jobs that can be forgotten once the removals are committed.
-    finished_jobs: dict[str, None] = field(default_factory=dict)
+    forgettable_jobs: dict[str, None] = field(default_factory=dict)
 
     @property
     def size(self) -> int:
--- a/spindleglade/workers/write_collection.py
+++ b/spindleglade/workers/write_collection.py
@@ -69,9 +69,9 @@
         if self._batch.size < max_operations:
             background = self._collect_remaining_done_jobs(max_operations)
             self._collect_background(background)
-        # A job with pending writes still has task ranges to remove, so it is not forgotten yet.
+        # A job that still has pending writes has more task ranges to remove, so it is not forgotten yet.
         for job_id, _ in self._data.pending_writes:
-            self._batch.finished_jobs.pop(job_id, None)
+            self._batch.forgettable_jobs.pop(job_id, None)
         return self._batch
 
     def _collect_done_jobs_with_dependents(self, max_operations: int) -> None:
@@ -136,9 +136,10 @@
         self._batch.done.append(CompletedJobWrite(job.id, job.mod_revision, record))
 
     def _collect_removals(self, range_id: TaskRangeId, max_operations: int) -> None:
-        """Adds the removals of a finished job's task ranges. The job stays pending if some do not fit."""
+        """Adds the removals of the task ranges of a job that is done or cancelled. If some do not fit, the
+        removal stays pending."""
         job_id = range_id.job
-        if job_id in self._batch.finished_jobs:
+        if job_id in self._batch.forgettable_jobs:
             # Another pending write of the job has already added them.
             return
         for key in self._stored_keys(job_id):
@@ -146,10 +147,11 @@
                 self._batch.removed.append(TaskRangeRemoval(job_id, key))
             else:
                 self._data.pending_writes[range_id] = None
-        self._batch.finished_jobs[job_id] = None
+        self._batch.forgettable_jobs[job_id] = None
 
     def _stored_keys(self, job_id: str) -> list[str]:
-        """The stored task range keys of a finished job, in the order in which they may be removed."""
+        """The stored task range keys of a job that is done or cancelled, in the order in which they may be
+        removed."""
         job = self._data.jobs.get(job_id)
         if job is not None:
             return [key for key in job.ranges.keys(job_id) if key in self._stored_revisions]
--- a/spindleglade/workers/write_queue.py
+++ b/spindleglade/workers/write_queue.py
@@ -40,7 +40,7 @@
                 self.requeue_range(job, write.first_task)
         for job_id in [
             *(job_id for job_id, _, _ in batch.done),
-            *batch.finished_jobs,
+            *batch.forgettable_jobs,
             *(job_id for job_id, _ in batch.removed),
         ]:
             self._data.pending_writes[TaskRangeId(job_id, 0)] = None
