--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -126,7 +126,7 @@
 
     @property
     def is_unreachable_for_machines(self) -> bool:
-        """Whether no request of this leader reaches the machines although their heartbeats arrive."""
+        """Whether this leader's requests reach few or none of the machines with recent heartbeats."""
         return self.is_active and self.running.autoscaler.is_unreachable_for_machines
 
     def receives_no_heartbeats(self, silence_limit: timedelta) -> bool:
--- a/spindleglade/controller/running_leader.py
+++ b/spindleglade/controller/running_leader.py
@@ -95,8 +95,8 @@
 
     @property
     def stall_reason(self) -> str | None:
-        """Why the leader has stalled: one of its loops fails repeatedly or has been in one pass for too long.
-        None if it has not stalled."""
+        """Why the leader has stalled: the state writer, the planning loop or the autoscaler fails repeatedly
+        or has been in one pass for too long. None if it has not stalled."""
         return (
             self._state_writer.stall_reason
             or self._planning_loop.stall_reason
--- a/spindleglade/leadership/monitor.py
+++ b/spindleglade/leadership/monitor.py
@@ -1,7 +1,7 @@
 """Decides when a leader gives up leadership, and keeps it from campaigning for some time after resigning.
 
 A leader that cannot do its work must leave it to a peer. This is the case if the leader is isolated from the
-store and all peers, receives no heartbeats from machines, cannot reach any machine, or has stalled.
+store and all peers, receives no heartbeats from machines, reaches few or none of them, or has stalled.
 """
 
 import logging
@@ -48,7 +48,7 @@
 
     @property
     def is_unreachable_for_machines(self) -> bool:
-        """Whether no request of the leader reaches the machines although their heartbeats arrive."""
+        """Whether the leader's requests reach few or none of the machines with recent heartbeats."""
         ...
 
     def receives_no_heartbeats(self, silence_limit: timedelta) -> bool:
@@ -91,8 +91,8 @@
     ) -> None:
         """`leader` returns the leader; None while this controller does not lead. `heartbeat_interval` is the
         heartbeat interval of the machines. `proof_validity` is how long leadership counts as proven after the
-        replica was last current. For the same time after a late check, the connectivity and the leader are
-        not checked."""
+        replica was last current. After a late check, the connectivity and the leader are not checked for as
+        long."""
         self._clock = clock
         self._election = election
         self._connectivity = connectivity
