--- a/spindleglade/backfill/placement.py
+++ b/spindleglade/backfill/placement.py
@@ -8,7 +8,7 @@
 from spindleglade.backfill.reservation import Reservation, reserve_capacity
 from spindleglade.backfill.snapshot import JobView, Key, RunningTask, is_best_effort, unclaimed_guarantee_cpus
 
-# One in this many waiting tasks of an overdue job is placed ahead of all other jobs.
+# One in this many waiting tasks of an overdue job, and at least one, is placed ahead of all other jobs.
 _TASKS_PER_OVERDUE_START = 8
 
 
@@ -38,8 +38,9 @@
         """Places some tasks of an overdue job ahead of all priorities.
 
         Without this, an endless stream of small tasks of high priority would starve large ones. Only some of
-        the tasks are placed first: if all jobs were overdue, placing all of their tasks first would leave
-        priorities without effect. The job is no longer overdue once one of its tasks has started.
+        the tasks, or a whole gang, are placed first: if all jobs were overdue, placing all of their tasks
+        first would leave priorities without effect. The remaining tasks are placed by priority like those of
+        other jobs, because a job is no longer overdue once one of its tasks has started.
         """
         count = len(job.waiting_tasks)
         if not job.is_gang:
@@ -57,13 +58,13 @@
         if not max_tasks or (job.is_gang and max_tasks < len(job.waiting_tasks)):
             return
         unplaced = max_tasks - self._place_tasks(job, max_tasks)
-        # For the probe of a job that failed repeatedly, capacity is neither reserved nor provisioned only for
-        # it to fail again, unless the job is overdue or fits on no existing machine.
+        # A job that failed repeatedly runs one task as a probe. The probe may fail again, so no capacity is
+        # reserved or provisioned for it, unless the job is overdue or fits on no existing machine.
         if unplaced and (job.is_overdue or not job.is_probe or not state.has_eligible_machine(job)):
             self._add_unplaced(job, unplaced)
 
     def _reserve_quota(self, job: JobView) -> None:
-        """Keeps CPUs and GPUs of its team's limit for one task of an overdue job.
+        """Reserves CPUs and GPUs within its team's limit for one task of an overdue job.
 
         Otherwise small tasks of the team would use each CPU or GPU as it is released, and a large task would
         never start.
@@ -93,9 +94,10 @@
     def _count_leaving_guarantees(self, job: JobView, max_tasks: int) -> int:
         """How many of the tasks may be placed so that every team can still claim its guarantee.
 
-        Where work must start sooner than a machine boots (on-demand machines are preferred there), capacity
-        is kept free for such starts. Best-effort work must not use this capacity, or each urgent start would
-        wait until enough best-effort tasks had saved and stopped.
+        Only best-effort work that is not overdue is restricted, and only if on-demand machines are preferred.
+        They are preferred if work must start sooner than a machine boots. Capacity is then kept free for
+        urgent starts. If best-effort work used this capacity, each urgent start would wait until enough
+        best-effort tasks had saved and stopped.
         """
         state = self._state
         if not state.prefers_on_demand or job.is_overdue or not is_best_effort(job, state.teams):
--- a/spindleglade/backfill/plan.py
+++ b/spindleglade/backfill/plan.py
@@ -74,7 +74,7 @@
     # Free CPUs of usable machines, and the CPUs that each team uses.
     spare_cpus: float = 0.0
     used_cpus: dict[str, float] = field(default_factory=dict)
-    # Id of the job that holds the reservation, the first that did not fit; None if all fit.
+    # Id of the job that holds the reservation, the first that did not fit; None if no job holds it.
     reserved_job: str | None = None
-    # How often the probability that a candidate delays the reserved job was computed.
+    # How many times the probability that a candidate delays the reserved job was computed.
     delay_checks: int = 0
--- a/spindleglade/backfill/preemption.py
+++ b/spindleglade/backfill/preemption.py
@@ -143,7 +143,10 @@
     def _may_preempt(
         self, job: JobView, is_guaranteed: bool, victim: RunningTask, freed_cpus_by_team: dict[str, float]
     ) -> bool:
-        """Whether the job may preempt this task, after other preemptions that free the given CPUs by team.
+        """Whether the job may preempt this task.
+
+        `is_guaranteed` is whether one more task of the job is within its team's guarantee.
+        `freed_cpus_by_team` holds the CPUs of the tasks that are already chosen to be preempted for it.
 
         Work within its team's guarantee ranks above work beyond a guarantee; otherwise priorities decide. The
         protocol gives both reasons for preemption. Without a fixed order between them, a high-priority job
@@ -163,6 +166,7 @@
             return True
         if self._mode is not PreemptionMode.ALL:
             return False
+        # Equal only if both are false: the job is beyond a guarantee, and the task within one.
         if is_other_team and is_beyond_guarantee == is_guaranteed:
             return False
         return victim.rank < job.rank
--- a/spindleglade/backfill/probability.py
+++ b/spindleglade/backfill/probability.py
@@ -10,13 +10,13 @@
 
 from spindleglade.backfill.arrays import Array, IntArray
 
-# Maximum number of times for which the table is computed. If there are more possible ends, some are left out:
-# the differences hardly change from one end to the next, and a planning pass must stay short.
+# Maximum number of points in time for which the table is computed. If there are more possible ends, some are
+# left out: the differences hardly change from one end to the next, and a planning pass must stay short.
 MAX_EVENTS = 48
 
 
 def release_probabilities(chances: Array, max_units: int) -> Array:
-    """Computes M_t[n] for n all units: one row per time t, one column per c from 0 to `max_units`.
+    """Computes M_t[n], where n is all units: a row per time t, a column per c from 0 to `max_units`.
 
     `chances` has a row per unit and a column per time: the probability that the unit is released by then.
     """
@@ -29,7 +29,7 @@
 
 
 class DelayModel:
-    """When the units of the reserved job are released, and how likely backfill candidates delay its start.
+    """When the units of the reserved job are released, and how likely candidates are to delay its start.
 
     `ends` and `weights` have a row for each running task that must end first: its possible ends, in seconds
     from now, and their weights. `units` gives the unit that each task holds, in ascending order.
@@ -77,8 +77,8 @@
     def delay_probability(self, ends: Array, weights: Array, units_taken: int = 1) -> float:
         """The probability that the reserved job is delayed if candidates take `units_taken` units.
 
-        `ends` and `weights` are the candidates' possible ends, in seconds from now. The probability is the
-        sum over the bins of the bin's weight times the largest difference before the bin's end.
+        `ends` are the possible ends of a candidate, in seconds from now, and `weights` their weights. The
+        probability is the sum over the ends of the weight times the largest difference before the end.
         """
         if not len(self._events):
             return 0.0
--- a/spindleglade/backfill/reservation.py
+++ b/spindleglade/backfill/reservation.py
@@ -1,4 +1,4 @@
-"""The reservation of the first job that did not fit: when it may start, and what may be backfilled."""
+"""The reservation of the first job that did not fit: when it is expected to start, what may be backfilled."""
 
 from datetime import timedelta
 
@@ -9,12 +9,16 @@
 from spindleglade.backfill.readiness import readiness
 from spindleglade.backfill.snapshot import JobView, Key
 
-# Capacity for overdue jobs may be reserved on one in this many machines, and always on at least one.
+# Overdue jobs may reserve capacity until one in this many machines, and at least one, has reserved capacity.
 _MACHINES_PER_RESERVATION = 16
 
 
 class Reservation:
-    """Holds the reserved job and decides which tasks may be backfilled ahead of it."""
+    """Holds the reserved job and decides which tasks may be backfilled ahead of it.
+
+    A unit is an eligible machine that fits one task of the reserved job now, or will once enough of the tasks
+    running on it have ended.
+    """
 
     def __init__(self, state: PlanningState, tau: float) -> None:
         self._state = state
@@ -23,10 +27,10 @@
         self._reserved_job: JobView | None = None
         # How many tasks of the reserved job must fit at once: all tasks of a gang, otherwise one.
         self._task_count = 1
-        # Computed when the first backfill candidate is checked.
+        # Computed, with `_spare_capacity`, when the first backfill candidate is checked.
         self._cached_model: DelayModel | None = None
-        # By row of each machine that is a unit for the reserved job: CPUs, GPUs and memory that backfilled
-        # tasks may use without taking the unit.
+        # For each unit that is not taken, by the machine's row: CPUs, GPUs and memory that backfilled tasks
+        # may use without taking the unit.
         self._spare_capacity: dict[int, tuple[float, float, float]] = {}
         # Units taken by tasks that were backfilled in this pass.
         self._units_taken = 0
@@ -70,7 +74,8 @@
         """How many of `max_tasks` tasks that fit on the machine may be backfilled.
 
         Tasks that leave enough capacity for a task of the reserved job take no unit and delay nothing. For
-        the first task that would take the unit, Algorithm 2 decides for all equivalent tasks.
+        tasks that would take the unit, Algorithm 2 decides. If it refuses one, all equivalent tasks are
+        refused.
         """
         model = self._delay_model()
         spare = self._spare_capacity.get(row)
@@ -98,6 +103,7 @@
         return model.delay_probability(ends, weights, self._units_taken + 1) < self._tau
 
     def _delay_model(self) -> DelayModel:
+        """Returns the delay model of the reserved job. The first call also fills `_spare_capacity`."""
         if self._cached_model is None:
             assert self._reserved_job is not None
             units = readiness(self._state, self._reserved_job)
--- a/spindleglade/backfill/snapshot.py
+++ b/spindleglade/backfill/snapshot.py
@@ -98,7 +98,7 @@
 
 
 def task_rows(tasks: list[RunningTask], team_codes: dict[str, int]) -> Array:
-    """One row per task. The code of an unknown team is -1."""
+    """The tasks as an array: one row per task, with the columns above. The code of an unknown team is -1."""
     return np.array(
         [
             (
--- a/spindleglade/backfill/test_preemption.py
+++ b/spindleglade/backfill/test_preemption.py
@@ -149,13 +149,15 @@
     high = job("job-1", 4.0, rank=3, zone="a")
     assert not plan([high], within_guarantee + beyond_guarantee, preempt="all").preemptions
     # Conversely, work within its guarantee preempts work beyond a guarantee, whatever the priorities.
-    above_guarantee = [machine(f"n-{number}", [running(8.0, rank=3)]) for number in range(4)]
+    high_priority_beyond_guarantee = [machine(f"n-{number}", [running(8.0, rank=3)]) for number in range(4)]
     claiming_jobs = [job("job-1", 4.0, team="u", rank=0)]
-    assert len(preempted(plan(claiming_jobs, above_guarantee, preempt="guarantees"))) == 1
+    assert len(preempted(plan(claiming_jobs, high_priority_beyond_guarantee, preempt="guarantees"))) == 1
     # Work within its team's guarantee is not preempted, and a higher priority alone preempts nothing.
     at_guarantee = [machine(f"n-{number}", [running(8.0, rank=0)]) for number in range(2)]
     assert not plan([job("job-1", 4.0, team="u", rank=3)], at_guarantee, preempt="guarantees").preemptions
-    assert not plan([job("job-1", 4.0, rank=3)], above_guarantee, preempt="guarantees").preemptions
+    assert not plan(
+        [job("job-1", 4.0, rank=3)], high_priority_beyond_guarantee, preempt="guarantees"
+    ).preemptions
 
 
 def test_capacity_freed_for_a_job_is_reserved_for_it():
--- a/spindleglade/store/client.py
+++ b/spindleglade/store/client.py
@@ -95,8 +95,8 @@
 
         It is the present limit until this process sees the first refusal for size, then `limits.value_bytes`,
         which follows from the smaller of the present and the announced limit. The limits fall only after all
-        processes run a version that knows of the fall, so every process that reads a value split under the
-        smaller limit understands its ranges.
+        processes run a version that knows of the fall. Therefore every process that reads a value which was
+        split under the smaller limit understands the overflow ranges.
         """
         return self.limits.value_bytes if self._size_refusal_seen else self.limits.largest_value
 
--- a/spindleglade/store/rate_limits.py
+++ b/spindleglade/store/rate_limits.py
@@ -86,6 +86,7 @@
         self._request_tokens.spend()
 
     def _apply_rates(self) -> None:
+        """Sets the token buckets to the limits that are in force now, if they have changed."""
         use_lowest_rates = self._lower_rates_until is not None and self._clock.now() < self._lower_rates_until
         limits = self._limits.lowest if use_lowest_rates else self._limits
         if (limits.rps, limits.write_rps) == (self._limits_in_force.rps, self._limits_in_force.write_rps):
--- a/spindleglade/store/replica.py
+++ b/spindleglade/store/replica.py
@@ -1,10 +1,10 @@
 """A controller's replica of the keys in the store, kept up to date by a watch.
 
 The replica may be behind the store, but it never holds anything that the store did not hold.
-`Replica.catch_up` makes it current: it sends a watch that the store answers at once, one request for all
-callers waiting by then. Changes arrive from the long watch and from catch-ups. Each response holds every
-change after a revision that the replica had already reached, so applying only changes newer than the
-replica's revision neither misses nor repeats a change.
+`Replica.catch_up` makes it current: it sends a watch that the store answers at once. One such request serves
+all callers that are waiting when it is sent. Changes arrive from the long watch and from catch-ups. Each
+response holds every change after a revision that the replica had already reached, so applying only changes
+newer than the replica's revision neither misses nor repeats a change.
 """
 
 import logging
@@ -117,7 +117,7 @@
     def catch_up(self) -> Deferred[None]:
         """Returns a Deferred that fires once the replica is at least as new as the store was at this call.
 
-        It fails with StaleReplicaError.
+        If the catch-up fails, the Deferred fails with StaleReplicaError.
         """
         waiter: Deferred[None] = Deferred()
         self._waiters.append(waiter)
@@ -158,9 +158,9 @@
         listing = await self._client.read_all(self._prefix)
         updates = WatchResult(listing.revision, [])
         if listing.pages > 1:
-            # The pages were read at different times. If a value was split in between, an earlier page may
-            # lack the new overflow ranges, while a later page shows the old value without their tasks.
-            # Therefore nothing is applied before the changes since the first page have been read as well.
+            # The pages were read at different times. If a task range was split in between, an earlier page
+            # may lack the new overflow ranges, while a later page shows the range without the tasks that they
+            # took over. Therefore nothing is applied before the changes since the first page have been read.
             updates = await self._client.watch(self._prefix, listing.revision, ZERO)
         revision, changes = updates
         self._apply_listing(listing)
@@ -172,8 +172,8 @@
     def _apply_listing(self, listing: Listing) -> None:
         for entry in listing.entries:
             # A catch-up may have overtaken the listing. An entry that is not newer than the replica's
-            # revision is already known, or the key was removed since. Applied, a removed key would stay for
-            # ever, because its removal is not reported again.
+            # revision is already known, or the key was removed since. If such an entry of a removed key were
+            # applied, the key would stay forever, because its removal is not reported again.
             if entry.mod_revision > self.revision:
                 self._apply_if_newer(entry.key, bytes(entry.value), entry.mod_revision)
         present = {entry.key for entry in listing.entries}
@@ -215,7 +215,7 @@
         try:
             await self._serve_waiters()
         finally:
-            # While this is set, `catch_up` starts no new catch-up.
+            # Reset after an error too: while it is set, `catch_up` starts no catch-up.
             self._catching_up = False
 
     async def _serve_waiters(self) -> None:
--- a/spindleglade/submissions/acceptance.py
+++ b/spindleglade/submissions/acceptance.py
@@ -41,6 +41,7 @@
 def split_dependencies(names: list[str], max_bytes: int) -> list[list[str]]:
     """Splits job ids, in order, into as few lists as possible that take at most `max_bytes` each in JSON."""
     lists: list[list[str]] = []
+    # Set as if a list were full, so that the first name starts a new one.
     encoded_bytes = max_bytes
     for name in names:
         name_bytes = len(name) + _JSON_BYTES_PER_LIST_ITEM
--- a/spindleglade/submissions/api.py
+++ b/spindleglade/submissions/api.py
@@ -45,7 +45,7 @@
         self._canceller = JobCanceller(client, replica, self._status)
 
     async def handle(self, method: str, path: str, body: bytes, may_forward: bool = True) -> HttpResponse:
-        """Handles a request. `may_forward` is false if a peer forwarded it, as it is forwarded only once."""
+        """Handles a request. `may_forward` is false if a peer forwarded it: no request is forwarded twice."""
         if path == "/ready":
             return self._ready(method)
         if path == "/submissions":
--- a/spindleglade/submissions/cancellation.py
+++ b/spindleglade/submissions/cancellation.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger("spindleglade.submissions")
 
-# How often the write of a cancellation is tried while the job's record keeps changing.
+# How many times the write of a cancellation is tried while the job's record keeps changing.
 MAX_CANCELLATION_TRIES = 4
 
 
--- a/spindleglade/submissions/dependencies.py
+++ b/spindleglade/submissions/dependencies.py
@@ -27,8 +27,8 @@
 
     def __init__(self) -> None:
         self._outcomes: dict[str, DependencyOutcome] = {}
-        # For each open job that is not released, its dependencies not known to be done. The set is empty for
-        # a job with dependencies that have not all been read.
+        # For each open job that is not released, its dependencies not known to be done. The set is empty
+        # while the job's dependencies have not all been read (see `add_incomplete`).
         self._unfinished_dependencies: dict[str, set[str]] = {}
         # For each dependency not known to be done, the unreleased jobs that depend on it directly.
         self._dependents: dict[str, list[str]] = {}
@@ -62,8 +62,8 @@
     def add(self, job: str, dependencies: Iterable[str]) -> set[str]:
         """Adds all dependencies of an open job. Must be called only once per job.
 
-        Returns the affected jobs: the dependencies that are not done; the job itself if it is released at
-        once; or the job with its descendants if it is cancelled at once.
+        Returns the affected jobs: the dependencies that are not done, which gain a dependent; the job itself
+        if it is released at once; or the job with its descendants if it is cancelled at once.
         """
         unfinished = {
             dependency
--- a/spindleglade/submissions/records.py
+++ b/spindleglade/submissions/records.py
@@ -38,7 +38,7 @@
     """A job as it is stored in the state service.
 
     Versions from before dependencies existed ignore the fields added for them, and drop these fields when
-    they write a final state. The dropped fields are read only while the job is open.
+    they write a final state. `dependencies` and `dependency_keys` are read only while the job is open.
     """
 
     state: JobState = msgspec.field(name="stage")
