--- a/spindleglade/workers/write_collection.py
+++ b/spindleglade/workers/write_collection.py
@@ -69,9 +69,9 @@
         if self._batch.size < max_operations:
             background = self._collect_remaining_done_jobs(max_operations)
             self._collect_background(background)
-        # A job with pending writes still has task ranges to remove, so it is not forgotten yet.
+        # A job that still has pending writes has more task ranges to remove, so it is not forgotten yet.
         for job_id, _ in self._data.pending_writes:
-            self._batch.finished_jobs.pop(job_id, None)
+            self._batch.forgettable_jobs.pop(job_id, None)
         return self._batch
 
     def _collect_done_jobs_with_dependents(self, max_operations: int) -> None:
@@ -136,9 +136,10 @@
         self._batch.done.append(CompletedJobWrite(job.id, job.mod_revision, record))
 
     def _collect_removals(self, range_id: TaskRangeId, max_operations: int) -> None:
-        """Adds the removals of a finished job's task ranges. The job stays pending if some do not fit."""
+        """Adds the removals of the task ranges of a job that is done or cancelled. If some do not fit, the
+        removal stays pending."""
         job_id = range_id.job
-        if job_id in self._batch.finished_jobs:
+        if job_id in self._batch.forgettable_jobs:
             # Another pending write of the job has already added them.
             return
         for key in self._stored_keys(job_id):
@@ -146,10 +147,11 @@
                 self._batch.removed.append(TaskRangeRemoval(job_id, key))
             else:
                 self._data.pending_writes[range_id] = None
-        self._batch.finished_jobs[job_id] = None
+        self._batch.forgettable_jobs[job_id] = None
 
     def _stored_keys(self, job_id: str) -> list[str]:
-        """The stored task range keys of a finished job, in the order in which they may be removed."""
+        """The stored task range keys of a job that is done or cancelled, in the order in which they may be
+        removed."""
         job = self._data.jobs.get(job_id)
         if job is not None:
             return [key for key in job.ranges.keys(job_id) if key in self._stored_revisions]
@@ -161,8 +163,9 @@
         ]
 
     def _collect_task_range(self, job: Job, first_task: int, max_operations: int) -> None:
-        """Adds a task range, preceded by the overflow ranges to its right that the store does not hold yet.
-        Its new value no longer covers their tasks, so it must not be stored without them."""
+        """Adds a task range, preceded by the overflow ranges directly after it that the store does not hold
+        yet. The new value of the task range no longer covers the tasks of these overflow ranges, so it must
+        not be stored without them."""
         collected = {write.first_task for write in self._batch.ranges if write.job == job.id}
         if first_task in collected:
             return
@@ -180,8 +183,8 @@
             self._batch.ranges.append(write)
 
     def _range_writes(self, job: Job, first_task: int, collected: set[int]) -> list[TaskRangeWrite]:
-        """The writes of a task range and of the overflow ranges to its right that are not stored yet, from
-        left to right. Ranges above the size limit are split first, as far as possible."""
+        """The writes of a task range and of the overflow ranges directly after it that are not stored yet, in
+        the order of their tasks. Ranges above the size limit are split first, as far as possible."""
         writes: list[TaskRangeWrite] = []
         while True:
             write = _encode_range_write(job, first_task)
@@ -222,7 +225,7 @@
     is_overflow = job.ranges.is_overflow(first_task)
     record = job.encode_range(first_task)
     if record is None and is_overflow:
-        # An empty overflow range is stored as well: without it, the stale entries of the range to its left
+        # An empty overflow range is stored as well: without it, the stale entries of the range before it
         # would count again.
         record = TaskRangeRecord()
     # The record of a cancelled job is no longer a condition. An overflow range of such a job requires its
