--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -27,7 +27,7 @@
 from spindleglade.store.client import StateClient
 from spindleglade.store.replica import Replica
 from spindleglade.submissions.api import UserApi
-from spindleglade.submissions.records import JOBS, LEASE_RENEWALS, PREFIX, JobRecord
+from spindleglade.submissions.records import JOB_KEY_PREFIX, KEY_PREFIX, LEASE_RENEWAL_KEY_PREFIX, JobRecord
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.api import LeaderAccess, WorkerApi
 from spindleglade.workers.cancellation_freshness import CancellationFreshness
@@ -102,7 +102,7 @@
         self.replica = Replica(
             self.client,
             self._clock,
-            PREFIX,
+            KEY_PREFIX,
             seconds(store_settings.max_watch_wait_s),
             seconds(store_settings.catch_up_interval_s),
             lambda: self.client.request_interval,
@@ -254,9 +254,9 @@
 
     def _on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
         """Passes the peers' lease renewals and changed job records on to the leader."""
-        if self.leader is not None and key.startswith(LEASE_RENEWALS) and value is not None:
+        if self.leader is not None and key.startswith(LEASE_RENEWAL_KEY_PREFIX) and value is not None:
             self.leader.on_leases_renewed_by_peer(msgspec.json.decode(value, type=list[str]))
-        if self.leader is not None and key.startswith(JOBS) and value is not None:
+        if self.leader is not None and key.startswith(JOB_KEY_PREFIX) and value is not None:
             self.leader.on_job_changed(msgspec.json.decode(value, type=JobRecord), mod_revision)
 
     def _on_dependency_changed(self, job: str) -> None:
--- a/spindleglade/controller/history_writer.py
+++ b/spindleglade/controller/history_writer.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 
 from spindleglade.backfill.distributions import Predictor
-from spindleglade.leadership.term import LEADER, Term
+from spindleglade.leadership.term import LEADER_KEY, Term
 from spindleglade.store.client import StateClient
 from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
 from spindleglade.store.messages import Committed, Condition, ConditionFailed, Put, encode_value
-from spindleglade.submissions.records import HISTORY
+from spindleglade.submissions.records import HISTORY_KEY_PREFIX
 from spindleglade.workers.cluster_state import ClusterState
 
 log = logging.getLogger("spindleglade.leadership")
@@ -62,7 +62,8 @@
         with self._cluster.lock:
             teams, self._cluster.teams_with_new_runs = self._cluster.teams_with_new_runs, set()
             writes = [
-                Put(HISTORY + team, encode_value(self._predictor.export(team))) for team in sorted(teams)
+                Put(HISTORY_KEY_PREFIX + team, encode_value(self._predictor.export(team)))
+                for team in sorted(teams)
             ]
         # About 25 bins take a few hundred bytes. A history with too many bins for one value is not written.
         limit = self._client.limits.value_bytes
@@ -89,7 +90,7 @@
 
         Raises NotAppliedError or OutcomeUnknownError if they cannot be read.
         """
-        if LEADER in result.failed:
+        if LEADER_KEY in result.failed:
             self._on_deposed("the leader key changed before a history was written")
             return
         for key in result.failed:
--- a/spindleglade/controller/lease_renewal_report.py
+++ b/spindleglade/controller/lease_renewal_report.py
@@ -9,7 +9,7 @@
 from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
 from spindleglade.store.messages import Condition, Put, encode_value
 from spindleglade.store.replica import Replica
-from spindleglade.submissions.records import LEASE_RENEWALS
+from spindleglade.submissions.records import LEASE_RENEWAL_KEY_PREFIX
 from spindleglade.workers.api import WorkerApi
 
 log = logging.getLogger("spindleglade")
@@ -60,7 +60,7 @@
         longest_name = max(map(len, machines))
         names_per_key = max(1, self._client.limits.value_bytes // (longest_name + JSON_BYTES_PER_NAME))
         for batch_start in range(0, len(machines), names_per_key):
-            key = f"{LEASE_RENEWALS}{self._controller}/{batch_start // names_per_key}"
+            key = f"{LEASE_RENEWAL_KEY_PREFIX}{self._controller}/{batch_start // names_per_key}"
             # The condition keeps a late copy of this request from reporting the same renewals again.
             conditions = [Condition(key, self._replica.mod_revisions.get(key, 0))]
             names = encode_value(machines[batch_start : batch_start + names_per_key])
--- a/spindleglade/controller/recovery.py
+++ b/spindleglade/controller/recovery.py
@@ -14,12 +14,12 @@
 from spindleglade.store.messages import Entry, Listing
 from spindleglade.store.replica import Replica
 from spindleglade.submissions.records import (
-    DEPENDENCIES,
-    HISTORY,
-    JOBS,
-    OVERFLOW_RANGES,
-    PREFIX,
-    TASK_RANGES,
+    DEPENDENCY_KEY_PREFIX,
+    HISTORY_KEY_PREFIX,
+    JOB_KEY_PREFIX,
+    KEY_PREFIX,
+    OVERFLOW_RANGE_KEY_PREFIX,
+    TASK_RANGE_KEY_PREFIX,
     JobRecord,
     TaskRangeRecord,
     overflow_range_key,
@@ -108,7 +108,7 @@
         """Applies all entries of a listing."""
         self.entry_count = len(entries)
         for entry in entries:
-            if entry.key.startswith((JOBS, DEPENDENCIES)):
+            if entry.key.startswith((JOB_KEY_PREFIX, DEPENDENCY_KEY_PREFIX)):
                 # The dependency graph is built from the replica, which may be older than the listing.
                 self._replica.observe(entry.key, bytes(entry.value), entry.mod_revision)
         decoded = _DecodedRecords()
@@ -136,25 +136,25 @@
 
         Raises msgspec.DecodeError or ValueError if the entry's key or value is malformed.
         """
-        if entry.key.startswith(JOBS):
+        if entry.key.startswith(JOB_KEY_PREFIX):
             decoded.jobs.append((msgspec.json.decode(entry.value, type=JobRecord), entry.mod_revision))
-        elif entry.key.startswith(TASK_RANGES):
+        elif entry.key.startswith(TASK_RANGE_KEY_PREFIX):
             job, range_number = split_range_key(entry.key)
             decoded.ranges.append((job, range_number, msgspec.json.decode(entry.value, type=TaskRangeRecord)))
             self.range_mod_revisions[entry.key] = entry.mod_revision
-        elif entry.key.startswith(OVERFLOW_RANGES):
+        elif entry.key.startswith(OVERFLOW_RANGE_KEY_PREFIX):
             job, first_task = split_overflow_range_key(entry.key)
             record = msgspec.json.decode(entry.value, type=TaskRangeRecord)
             decoded.overflow_ranges.append((job, first_task, record))
             self.range_mod_revisions[entry.key] = entry.mod_revision
-        elif entry.key.startswith(HISTORY):
+        elif entry.key.startswith(HISTORY_KEY_PREFIX):
             self.history_mod_revisions[entry.key] = entry.mod_revision
-            team = entry.key[len(HISTORY) :]
+            team = entry.key[len(HISTORY_KEY_PREFIX) :]
             self._predictor.load(team, msgspec.json.decode(entry.value, type=History))
 
     def _on_undecodable_entry(self, entry: Entry, error: Exception) -> None:
         log.error("record not decoded key=%s reason=%s", entry.key, error)
-        if not entry.key.startswith(HISTORY):
+        if not entry.key.startswith(HISTORY_KEY_PREFIX):
             self._undecodable_jobs.add(entry.key.split("/")[2])
 
     def _load_ranges(self, decoded: _DecodedRecords, now: timedelta) -> None:
@@ -213,7 +213,7 @@
         """Lists all records, with retries until it succeeds; returns None if the recovery was stopped."""
         while not self._stopped:
             try:
-                listing = await self._dependencies.client.read_all(PREFIX)
+                listing = await self._dependencies.client.read_all(KEY_PREFIX)
                 return None if self._stopped else listing
             except (NotAppliedError, OutcomeUnknownError, RevisionCompactedError) as error:
                 log.info("records not read reason=%s", error)
--- a/spindleglade/controller/test_history_writer.py
+++ b/spindleglade/controller/test_history_writer.py
@@ -5,14 +5,14 @@
 
 from spindleglade.controller.history_writer import HistoryWriter
 from spindleglade.controller.recovery import new_predictor
-from spindleglade.leadership.term import LEADER, Term
+from spindleglade.leadership.term import LEADER_KEY, Term
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.errors import OutcomeUnknownError
 from spindleglade.store.messages import Committed, ConditionFailed, Entry
-from spindleglade.submissions.records import HISTORY
+from spindleglade.submissions.records import HISTORY_KEY_PREFIX
 from tests.cluster_harness import TOKEN, make_cluster
 
 
@@ -25,7 +25,7 @@
 
     def __init__(self, delayed_numbers=()):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
-        self.revision, self.keys = 10, {LEADER: (b"{}", 5)}
+        self.revision, self.keys = 10, {LEADER_KEY: (b"{}", 5)}
         self.transactions, self.delayed_numbers = 0, set(delayed_numbers)
         self.delayed, self.response_delay = [], None
 
@@ -77,7 +77,7 @@
 
 
 def stored_runs(store):
-    return sum(msgspec.json.decode(store.keys[HISTORY + "t"][0])["counts"])
+    return sum(msgspec.json.decode(store.keys[HISTORY_KEY_PREFIX + "t"][0])["counts"])
 
 
 def test_a_late_history_does_not_undo_a_newer_one():
@@ -107,10 +107,10 @@
 
 def test_a_refused_history_deposes_its_own_term_only():
     store = FakeStore()
-    store.keys[LEADER] = (b"{}", 6)
+    store.keys[LEADER_KEY] = (b"{}", 6)
     writer, cluster, deposed = make_writer(store)
     write_runs(writer, 1)
-    assert len(deposed) == 1 and HISTORY + "t" not in store.keys
+    assert len(deposed) == 1 and HISTORY_KEY_PREFIX + "t" not in store.keys
     # A response that arrives after the term must not end the next term, which may be this controller's too.
     store.response_delay = Deferred()
     write_runs(writer, 1)
--- a/spindleglade/controller/test_recovery.py
+++ b/spindleglade/controller/test_recovery.py
@@ -7,7 +7,7 @@
 from spindleglade.settings import OperatorSettings
 from spindleglade.store.messages import Entry, encode_value
 from spindleglade.submissions.records import (
-    HISTORY,
+    HISTORY_KEY_PREFIX,
     JobRecord,
     StoredAttempt,
     TaskRangeRecord,
@@ -36,7 +36,7 @@
     opened = {id: encode_value(JobRecord("open", spec(id), 256)) for id in ("job-1", "job-2", "job-3")}
     placed = encode_value(TaskRangeRecord(placed={0: StoredAttempt(1, "n-1", 1)}))
     entries = [
-        Entry(HISTORY + "t", encode_value([]), 2),
+        Entry(HISTORY_KEY_PREFIX + "t", encode_value([]), 2),
         Entry(job_key("job-1"), opened["job-1"], 3),
         Entry(job_key("job-2"), encode_value({"stage": "resting"}), 4),
         Entry(job_key("job-3"), opened["job-3"], 5),
--- a/spindleglade/fleet/machine_types.py
+++ b/spindleglade/fleet/machine_types.py
@@ -17,7 +17,7 @@
 from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
 from spindleglade.store.messages import Committed, Condition, Put, encode_value
 from spindleglade.store.replica import Replica
-from spindleglade.submissions.records import TYPES
+from spindleglade.submissions.records import MACHINE_TYPES_KEY
 from spindleglade.submissions.schedulability import MachineShape
 from spindleglade.workers.machines import MachineTypeCapacity
 
@@ -25,7 +25,7 @@
 
 # Prefix of the numbered keys of the types that do not fit into the value of the first key. The previous
 # version reads only the first key.
-MORE_TYPES = TYPES + "/"
+MORE_MACHINE_TYPES_KEY_PREFIX = MACHINE_TYPES_KEY + "/"
 
 # Time between two attempts to read the types while none are known, since no job can be accepted without them.
 UNKNOWN_TYPES_RETRY_DELAY = seconds(1)
@@ -58,11 +58,11 @@
 
     def on_change(self, key: str, value: bytes | None, mod_revision: int) -> None:
         """Takes over the types from a stored value that has changed."""
-        if value is None or not (key == TYPES or key.startswith(MORE_TYPES)):
+        if value is None or not (key == MACHINE_TYPES_KEY or key.startswith(MORE_MACHINE_TYPES_KEY_PREFIX)):
             return
         self._stored_types[key] = msgspec.json.decode(value, type=MachineTypeList).types
         # The first key is written together with the others or after them, so once it is there all types are.
-        if TYPES in self._stored_types and not self._is_leader():
+        if MACHINE_TYPES_KEY in self._stored_types and not self._is_leader():
             keys = sorted(self._stored_types, key=lambda stored: (len(stored), stored))
             self.types = [entry for stored in keys for entry in self._stored_types[stored]]
 
@@ -101,7 +101,7 @@
         self.types = types
         if were_unknown:
             log.info("machine types known types=%s", ",".join(entry.name for entry in types))
-        if TYPES not in self._replica.mod_revisions and self._replica.loaded:
+        if MACHINE_TYPES_KEY not in self._replica.mod_revisions and self._replica.loaded:
             await self._store(types)
 
     async def _store(self, types: list[MachineType]) -> None:
@@ -134,7 +134,10 @@
 def _encode_types(types: list[MachineType], value_bytes: int) -> list[Put]:
     """The values to be stored, beginning with the one that all versions read."""
     return [
-        Put(f"{MORE_TYPES}{number}" if number else TYPES, encode_value(MachineTypeList(group)))
+        Put(
+            f"{MORE_MACHINE_TYPES_KEY_PREFIX}{number}" if number else MACHINE_TYPES_KEY,
+            encode_value(MachineTypeList(group)),
+        )
         for number, group in enumerate(split_into_values(types, value_bytes))
     ]
 
--- a/spindleglade/fleet/test_machine_types.py
+++ b/spindleglade/fleet/test_machine_types.py
@@ -8,7 +8,7 @@
 from spindleglade.runtime.clock import ManualClock
 from spindleglade.settings.platform import NextStateLimits, StateLimits
 from spindleglade.store.messages import Committed, encode_value
-from spindleglade.submissions.records import TYPES
+from spindleglade.submissions.records import MACHINE_TYPES_KEY
 
 TYPES_OF_CLOUD = [
     MachineType(f"type-{number:02d}", 8.0, 32.0, 1.0, 0.3, 40.0, 100.0, 1.0, 0.0, ["a", "b"])
@@ -54,7 +54,7 @@
 def test_types_that_fit_are_stored_as_one_value():
     (put,) = store_types(None).writes
     assert (
-        put.key == TYPES
+        put.key == MACHINE_TYPES_KEY
         and put.value == encode_value(MachineTypeList(TYPES_OF_CLOUD))
         and read_types([put]) == TYPES_OF_CLOUD
     )
@@ -62,7 +62,7 @@
 
 def test_types_that_do_not_fit_are_several_values_and_the_first_key_is_written_last():
     store = store_types(NextStateLimits(value_kb=0.5, txn_ops=3))
-    assert len(store.writes) > 3 and store.writes[-1].key == TYPES
+    assert len(store.writes) > 3 and store.writes[-1].key == MACHINE_TYPES_KEY
     assert read_types(store.writes) == TYPES_OF_CLOUD
     assert read_types(store.writes[:-1]) == []
     # The previous version reads only the first key.
--- a/spindleglade/http/server.py
+++ b/spindleglade/http/server.py
@@ -18,7 +18,7 @@
 log = logging.getLogger("spindleglade.http")
 
 # Largest request body in bytes; handlers reject longer ones.
-BODY_LIMIT = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 # Path to which workers send their heartbeats.
 HEARTBEAT_PATH = b"/v1/report"
 # A user's connection is closed once it has been idle for this time: users send a request every few seconds,
@@ -42,8 +42,8 @@
 
 encode_json = msgspec.json.encode
 
-# Takes method, path and body. A body longer than BODY_LIMIT arrives as BODY_LIMIT + 1 bytes, truncated or
-# replaced by spaces, so that the handler can tell that it is too long.
+# Takes method, path and body. A body longer than MAX_BODY_BYTES arrives as MAX_BODY_BYTES + 1 bytes,
+# truncated or replaced by spaces, so that the handler can tell that it is too long.
 Handler = Callable[[str, str, bytes], Coroutine[Any, Any, HttpResponse]]
 
 
@@ -89,11 +89,11 @@
 
 
 def _read_body(request: Request) -> bytes:
-    """The request body; BODY_LIMIT + 1 bytes in place of one that is longer than BODY_LIMIT."""
+    """The request body; MAX_BODY_BYTES + 1 bytes in place of one that is longer than MAX_BODY_BYTES."""
     length = request.getHeader(b"content-length")
-    if length is not None and length.isdigit() and int(length) > BODY_LIMIT:
-        return b" " * (BODY_LIMIT + 1)
-    return request.content.read(BODY_LIMIT + 1) if request.content else b""
+    if length is not None and length.isdigit() and int(length) > MAX_BODY_BYTES:
+        return b" " * (MAX_BODY_BYTES + 1)
+    return request.content.read(MAX_BODY_BYTES + 1) if request.content else b""
 
 
 class _Channel(http.HTTPChannel):
--- a/spindleglade/leadership/election.py
+++ b/spindleglade/leadership/election.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from spindleglade.leadership.lease_renewal import LeaseRenewer
-from spindleglade.leadership.term import LEADER, TOKEN, LeaderRecord, Term, TokenRecord
+from spindleglade.leadership.term import LEADER_KEY, TOKEN_KEY, LeaderRecord, Term, TokenRecord
 from spindleglade.runtime.background import run_forever, run_in_background
 from spindleglade.runtime.clock import Clock, sleep
 from spindleglade.store.client import StateClient
@@ -97,9 +97,9 @@
 
     def on_change(self, key: str, value: bytes | None, mod_revision: int) -> None:
         """Observes a changed key of the replica; `value` is None if the key was deleted."""
-        if key == LEADER:
+        if key == LEADER_KEY:
             self._on_leader_key_changed(value, mod_revision)
-        elif key == TOKEN and value is not None:
+        elif key == TOKEN_KEY and value is not None:
             self._stored_token = msgspec.json.decode(value, type=TokenRecord).token
             self.observe_token(self._stored_token)
 
@@ -205,14 +205,16 @@
         """Writes the leader key, bound to a new lease, if it has not changed since it was found vacant."""
         # The mod_revisions are read before the lease is requested. Another controller may be elected while
         # the lease is granted, and with newer mod_revisions this one would depose that leader at once.
-        conditions = [Condition(key, self._replica.mod_revisions.get(key, 0)) for key in (LEADER, TOKEN)]
+        conditions = [
+            Condition(key, self._replica.mod_revisions.get(key, 0)) for key in (LEADER_KEY, TOKEN_KEY)
+        ]
         lease = await self._client.grant_lease(self._lease_ttl)
         token = max(self._stored_token, self.highest_token) + 1
         result = await self._client.compare_and_swap(
             conditions,
             [
-                Put(LEADER, encode_value(LeaderRecord(self._controller, token)), lease),
-                Put(TOKEN, encode_value(TokenRecord(token))),
+                Put(LEADER_KEY, encode_value(LeaderRecord(self._controller, token)), lease),
+                Put(TOKEN_KEY, encode_value(TokenRecord(token))),
             ],
             urgent=True,
         )
--- a/spindleglade/leadership/peer_network.py
+++ b/spindleglade/leadership/peer_network.py
@@ -71,11 +71,11 @@
 
     def server_factory(self) -> "Factory[PeerProtocol]":
         """Returns the Twisted factory for the connections that peers open to this controller."""
-        factory = Factory.forProtocol(lambda: PeerProtocol(self._on_request, lambda connection: None))
+        factory = Factory.forProtocol(lambda: PeerProtocol(self._on_peer_message, lambda connection: None))
         factory.noisy = False
         return factory
 
-    def _on_request(self, connection: PeerProtocol, message: Message) -> None:
+    def _on_peer_message(self, connection: PeerProtocol, message: Message) -> None:
         if isinstance(message, PeerHeartbeat):
             self._handlers.on_heartbeat(message, None)
             connection.send(self._handlers.make_heartbeat(message.revision))
--- a/spindleglade/leadership/term.py
+++ b/spindleglade/leadership/term.py
@@ -3,10 +3,10 @@
 import msgspec
 
 from spindleglade.store.messages import Condition
-from spindleglade.submissions.records import PREFIX
+from spindleglade.submissions.records import KEY_PREFIX
 
-LEADER = PREFIX + "leader"
-TOKEN = PREFIX + "token"
+LEADER_KEY = KEY_PREFIX + "leader"
+TOKEN_KEY = KEY_PREFIX + "token"
 
 
 class LeaderRecord(msgspec.Struct, frozen=True):
@@ -35,4 +35,4 @@
     @property
     def condition(self) -> Condition:
         """The condition on every write of the leader: no other controller has been elected since."""
-        return Condition(LEADER, self.mod_revision)
+        return Condition(LEADER_KEY, self.mod_revision)
--- a/spindleglade/leadership/test_election.py
+++ b/spindleglade/leadership/test_election.py
@@ -8,7 +8,7 @@
 
 from spindleglade.leadership.election import Election, ElectionHandlers
 from spindleglade.leadership.lease_renewal import RETRY_SHARE
-from spindleglade.leadership.term import LEADER, LeaderRecord
+from spindleglade.leadership.term import LEADER_KEY, LeaderRecord
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.store.errors import NotAppliedError, RateLimitedError
 from spindleglade.store.messages import Committed, Condition, ConditionFailed
@@ -129,19 +129,19 @@
 
     class Store(FakeStore):
         async def grant_lease(self, ttl):
-            replica.mod_revisions[LEADER] = 9
-            replica.on_change(LEADER, msgspec.json.encode(LeaderRecord("other", 1)), 9)
+            replica.mod_revisions[LEADER_KEY] = 9
+            replica.on_change(LEADER_KEY, msgspec.json.encode(LeaderRecord("other", 1)), 9)
             return 5
 
         async def compare_and_swap(self, conditions, writes, urgent=False):
             conditions_sent.extend(conditions)
-            return ConditionFailed(frozenset([LEADER]), 9)
+            return ConditionFailed(frozenset([LEADER_KEY]), 9)
 
     conditions_sent, replica, clock = [], FakeReplica(), ManualClock()
     handlers = ElectionHandlers(on_elected=None, on_deposed=None)
     Election("me", Store(), replica, clock, LEASE_TTL, handlers).start()
     clock.advance(CAMPAIGN_DURATION)
-    assert Condition(LEADER, 0) in conditions_sent
+    assert Condition(LEADER_KEY, 0) in conditions_sent
 
 
 @pytest.mark.parametrize("later", [LeaderRecord("other", 2), None])
@@ -151,8 +151,8 @@
 
     class Store(FakeStore):
         async def compare_and_swap(self, conditions, writes, urgent=False):
-            replica.on_change(LEADER, msgspec.json.encode(LeaderRecord("me", 1)), 9)
-            replica.on_change(LEADER, None if later is None else msgspec.json.encode(later), 10)
+            replica.on_change(LEADER_KEY, msgspec.json.encode(LeaderRecord("me", 1)), 9)
+            replica.on_change(LEADER_KEY, None if later is None else msgspec.json.encode(later), 10)
             return Committed(9)
 
         async def keep_alive(self, lease):
--- a/spindleglade/submissions/api.py
+++ b/spindleglade/submissions/api.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from datetime import datetime
 
-from spindleglade.http.server import BODY_LIMIT, HttpResponse
+from spindleglade.http.server import MAX_BODY_BYTES, HttpResponse
 from spindleglade.settings.platform import Team
 from spindleglade.store.client import StateClient
 from spindleglade.store.replica import Replica
@@ -65,7 +65,7 @@
     async def _submit(self, method: str, body: bytes) -> HttpResponse:
         if method != "POST":
             return error_response(405, "use POST")
-        if len(body) > BODY_LIMIT:
+        if len(body) > MAX_BODY_BYTES:
             return error_response(400, "body over 64 KiB")
         return await self._submitter.submit(body)
 
--- a/spindleglade/submissions/job_view.py
+++ b/spindleglade/submissions/job_view.py
@@ -4,7 +4,7 @@
 
 from spindleglade.submissions.messages import JobStatus
 from spindleglade.submissions.records import (
-    OVERFLOW_RANGES,
+    OVERFLOW_RANGE_KEY_PREFIX,
     JobRecord,
     JobState,
     TaskRangeRecord,
@@ -66,7 +66,7 @@
 
     def apply_range(self, key: str, range_record: TaskRangeRecord | None) -> None:
         """Applies the latest record of the task range under `key`; None if the key was removed."""
-        if key.startswith(OVERFLOW_RANGES):
+        if key.startswith(OVERFLOW_RANGE_KEY_PREFIX):
             _, first_task = split_overflow_range_key(key)
             if range_record is None:
                 self.ranges.remove(first_task)
--- a/spindleglade/submissions/messages.py
+++ b/spindleglade/submissions/messages.py
@@ -25,7 +25,7 @@
 
 
 # Jobs of a higher rank are placed first, and may preempt tasks of jobs of a lower rank.
-RANK: dict[Priority, int] = {
+PRIORITY_RANK: dict[Priority, int] = {
     Priority.CRITICAL: 3,
     Priority.HIGH: 2,
     Priority.NORMAL: 1,
--- a/spindleglade/submissions/records.py
+++ b/spindleglade/submissions/records.py
@@ -14,16 +14,16 @@
 from spindleglade.submissions.messages import Submission
 
 # The prefix of all keys that the scheduler stores in the state service.
-PREFIX = "sg/"
-JOBS = PREFIX + "job/"
-TASK_RANGES = PREFIX + "task/"
+KEY_PREFIX = "sg/"
+JOB_KEY_PREFIX = KEY_PREFIX + "job/"
+TASK_RANGE_KEY_PREFIX = KEY_PREFIX + "task/"
 # Lists of dependencies that do not fit into a job's record. They are written in the same transaction as the
 # record, and never changed or removed.
-DEPENDENCIES = PREFIX + "dependencies/"
-OVERFLOW_RANGES = PREFIX + "part/"
-TYPES = PREFIX + "types"
-HISTORY = PREFIX + "history/"
-LEASE_RENEWALS = PREFIX + "vouched/"
+DEPENDENCY_KEY_PREFIX = KEY_PREFIX + "dependencies/"
+OVERFLOW_RANGE_KEY_PREFIX = KEY_PREFIX + "part/"
+MACHINE_TYPES_KEY = KEY_PREFIX + "types"
+HISTORY_KEY_PREFIX = KEY_PREFIX + "history/"
+LEASE_RENEWAL_KEY_PREFIX = KEY_PREFIX + "vouched/"
 
 
 class JobState(StrEnum):
@@ -97,39 +97,39 @@
 
 def job_key(job: str) -> str:
     """The key of a job's record."""
-    return JOBS + job
+    return JOB_KEY_PREFIX + job
 
 
 def range_key(job: str, number: int) -> str:
     """The key of a task range. `number` counts the ranges of the job from 0."""
-    return f"{TASK_RANGES}{job}/{number:06d}"
+    return f"{TASK_RANGE_KEY_PREFIX}{job}/{number:06d}"
 
 
 def split_range_key(key: str) -> tuple[str, int]:
     """The job id and the range number in the key of a task range."""
-    job, _, number = key[len(TASK_RANGES) :].rpartition("/")
+    job, _, number = key[len(TASK_RANGE_KEY_PREFIX) :].rpartition("/")
     return job, int(number)
 
 
 def overflow_range_key(job: str, first_task: int) -> str:
     """The key of an overflow range, which is identified by its first task."""
-    return f"{OVERFLOW_RANGES}{job}/{first_task:06d}"
+    return f"{OVERFLOW_RANGE_KEY_PREFIX}{job}/{first_task:06d}"
 
 
 def split_overflow_range_key(key: str) -> tuple[str, int]:
     """The job id and the first task in the key of an overflow range."""
-    job, _, first_task = key[len(OVERFLOW_RANGES) :].rpartition("/")
+    job, _, first_task = key[len(OVERFLOW_RANGE_KEY_PREFIX) :].rpartition("/")
     return job, int(first_task)
 
 
 def dependency_key(job: str, number: int) -> str:
     """The key of a list of dependencies. `number` counts the lists of the job from 0."""
-    return f"{DEPENDENCIES}{job}/{number:06d}"
+    return f"{DEPENDENCY_KEY_PREFIX}{job}/{number:06d}"
 
 
 def split_dependency_key(key: str) -> tuple[str, int]:
     """The job id and the list number in the key of a list of dependencies."""
-    job, _, number = key[len(DEPENDENCIES) :].rpartition("/")
+    job, _, number = key[len(DEPENDENCY_KEY_PREFIX) :].rpartition("/")
     return job, int(number)
 
 
--- a/spindleglade/submissions/views.py
+++ b/spindleglade/submissions/views.py
@@ -10,10 +10,10 @@
 from spindleglade.submissions.dependency_lists import DependencyLists
 from spindleglade.submissions.job_view import JobView
 from spindleglade.submissions.records import (
-    DEPENDENCIES,
-    JOBS,
-    OVERFLOW_RANGES,
-    TASK_RANGES,
+    DEPENDENCY_KEY_PREFIX,
+    JOB_KEY_PREFIX,
+    OVERFLOW_RANGE_KEY_PREFIX,
+    TASK_RANGE_KEY_PREFIX,
     JobRecord,
     JobState,
     TaskRangeRecord,
@@ -73,13 +73,13 @@
 
     def on_change(self, key: str, value: bytes | None, mod_revision: int) -> None:
         """Applies a change of a key in the replica. `value` is None if the key was removed."""
-        if key.startswith(JOBS):
+        if key.startswith(JOB_KEY_PREFIX):
             if value is not None:
                 self._apply_job_record(msgspec.json.decode(value, type=JobRecord), mod_revision)
-        elif key.startswith(DEPENDENCIES):
+        elif key.startswith(DEPENDENCY_KEY_PREFIX):
             if value is not None:
                 self._add_dependency_list(key, msgspec.json.decode(value, type=list[str]))
-        elif key.startswith((TASK_RANGES, OVERFLOW_RANGES)):
+        elif key.startswith((TASK_RANGE_KEY_PREFIX, OVERFLOW_RANGE_KEY_PREFIX)):
             range_record = None
             if value is not None:
                 range_record = msgspec.json.decode(value, type=TaskRangeRecord)
--- a/spindleglade/workers/job_updates.py
+++ b/spindleglade/workers/job_updates.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from spindleglade.submissions.messages import RANK
+from spindleglade.submissions.messages import PRIORITY_RANK
 from spindleglade.submissions.records import JobRecord, JobState
 from spindleglade.workers.attempts import EndReason, StopReason
 from spindleglade.workers.cluster_data import ClusterData
@@ -80,7 +80,9 @@
         """The pipeline properties of those of the named jobs that are open, by job ID."""
         jobs = [self._data.jobs[name] for name in names if name in self._data.jobs]
         return {
-            job.id: ChainMember(RANK[job.spec.priority], job.deadline, job.spec.team, estimate(job.spec))
+            job.id: ChainMember(
+                PRIORITY_RANK[job.spec.priority], job.deadline, job.spec.team, estimate(job.spec)
+            )
             for job in jobs
             if job.is_open
         }
--- a/spindleglade/workers/jobs.py
+++ b/spindleglade/workers/jobs.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from spindleglade.submissions.messages import RANK, Submission
+from spindleglade.submissions.messages import PRIORITY_RANK, Submission
 from spindleglade.submissions.records import (
     JobRecord,
     JobState,
@@ -85,7 +85,7 @@
         # Orders jobs by submission, which is the order in which the store committed their records.
         self.submission_revision = mod_revision
         self.mod_revision = mod_revision
-        self.rank = RANK[record.spec.priority]
+        self.rank = PRIORITY_RANK[record.spec.priority]
         self.types = None if record.spec.types is None else frozenset(record.spec.types)
         # The task ranges, each of which is one value in the store. Their versions are kept by first task.
         self.ranges = TaskRanges(record.range_size, record.spec.tasks)
--- a/spindleglade/workers/state_writer.py
+++ b/spindleglade/workers/state_writer.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from spindleglade.leadership.term import LEADER, Term
+from spindleglade.leadership.term import LEADER_KEY, Term
 from spindleglade.runtime.clock import ZERO, Clock, seconds, sleep
 from spindleglade.runtime.periodic_task import PeriodicTask
 from spindleglade.runtime.wakeup import Wakeup
 from spindleglade.store.client import StateClient
 from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError, ValueTooLargeError
 from spindleglade.store.messages import Committed, ConditionFailed, Entry, encode_value
-from spindleglade.submissions.records import JOBS, JobRecord, job_key
+from spindleglade.submissions.records import JOB_KEY_PREFIX, JobRecord, job_key
 from spindleglade.workers.cluster_state import ClusterState
 from spindleglade.workers.write_batch import WriteBatch
 from spindleglade.workers.write_batcher import WriteBatcher
@@ -163,7 +163,7 @@
         if isinstance(result, Committed):
             self._apply_committed(batch, result.revision)
             self._events.on_committed()
-        elif LEADER in result.failed:
+        elif LEADER_KEY in result.failed:
             self._events.on_deposed("the condition on the leader key failed")
             self._loop.stop()
         else:
@@ -194,7 +194,7 @@
         for key in result.failed:
             try:
                 entry = await self._client.get(key)
-                if key.startswith(JOBS):
+                if key.startswith(JOB_KEY_PREFIX):
                     await self._observe_job(key, entry)
                 elif entry is None:
                     self._mod_revisions.pop(key, None)
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -4,13 +4,13 @@
 import pytest
 
 from spindleglade.backfill.plan import Placement, Plan
-from spindleglade.leadership.term import LEADER, Term
+from spindleglade.leadership.term import LEADER_KEY, Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.errors import NotAppliedError, OutcomeUnknownError
 from spindleglade.store.messages import Committed, ConditionFailed, Entry, Put, encode_value
 from spindleglade.submissions.records import (
-    TASK_RANGES,
+    TASK_RANGE_KEY_PREFIX,
     JobRecord,
     TaskRangeRecord,
     job_key,
@@ -26,7 +26,7 @@
 
     def __init__(self, outcomes=()):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
-        self.revision, self.mod_revisions = 10, {LEADER: 5, job_key("job-1"): 1}
+        self.revision, self.mod_revisions = 10, {LEADER_KEY: 5, job_key("job-1"): 1}
         self.values = {}
         self.outcomes, self.sizes, self.spare_writes = list(outcomes), [], 12
         self.value_bytes = 16 * 1024
@@ -114,7 +114,7 @@
 
 def test_a_deposed_leader_writes_nothing():
     store = Store()
-    store.mod_revisions[LEADER] = 6
+    store.mod_revisions[LEADER_KEY] = 6
     cluster, deposed = write_placements(store, 3)
     assert count_recorded(cluster) == 0 and deposed and range_key("job-1", 0) not in store.mod_revisions
 
@@ -150,7 +150,7 @@
         clock.advance(seconds(0.1))
         writer.wake()
     assert not cluster.jobs
-    return [key for key in store.mod_revisions if key.startswith(TASK_RANGES)]
+    return [key for key in store.mod_revisions if key.startswith(TASK_RANGE_KEY_PREFIX)]
 
 
 def test_a_cancellation_removes_a_range_whose_write_has_an_unknown_outcome():
--- a/spindleglade/workers/test_state_writer_sequences.py
+++ b/spindleglade/workers/test_state_writer_sequences.py
@@ -10,15 +10,15 @@
 from spindleglade.controller.test_recovery import make_loader
 from spindleglade.http.client import ClientResponse
 from spindleglade.http.errors import NoResponseError
-from spindleglade.leadership.term import LEADER, Term
+from spindleglade.leadership.term import LEADER_KEY, Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.client import StateClient
 from spindleglade.store.messages import Entry, encode_value
 from spindleglade.submissions.records import (
-    JOBS,
-    OVERFLOW_RANGES,
-    TASK_RANGES,
+    JOB_KEY_PREFIX,
+    OVERFLOW_RANGE_KEY_PREFIX,
+    TASK_RANGE_KEY_PREFIX,
     JobRecord,
     TaskRangeRecord,
     job_key,
@@ -111,7 +111,7 @@
         if self.writer is not None:
             self.writer.stop()
         self.token += 1
-        self.write(LEADER, {})
+        self.write(LEADER_KEY, {})
         term = Term(self.token, self.service.revision, 1)
         client = StateClient(UnreliableConnection(self), "", self.clock, self.LIMITS, 1, seconds(1))
         self.cluster = make_cluster()
@@ -143,7 +143,7 @@
     @rule(limit=st.integers(1, 4))
     def deliver_changes(self, limit):
         """Delivers the next changes through the replica, which may be behind what the leader has read."""
-        changes = [change for change in self.service.log if change.get("set", "").startswith(JOBS)]
+        changes = [change for change in self.service.log if change.get("set", "").startswith(JOB_KEY_PREFIX)]
         for change in changes[self.observed_changes : self.observed_changes + limit]:
             record = msgspec.convert(change["v"], JobRecord)
             self.cluster.observe_job(record, change["mark"], self.clock.now())
@@ -278,7 +278,7 @@
         self.start_leader()
         self.settle()
         assert self.final_states.keys() == self.SIZES.keys() and not self.cluster.jobs
-        assert not self.stored(TASK_RANGES) and not self.stored(OVERFLOW_RANGES)
+        assert not self.stored(TASK_RANGE_KEY_PREFIX) and not self.stored(OVERFLOW_RANGE_KEY_PREFIX)
         assert not any(self.machines.values())
 
 
--- a/spindleglade/workers/test_task_range_splitting.py
+++ b/spindleglade/workers/test_task_range_splitting.py
@@ -9,7 +9,7 @@
 from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.controller.test_recovery import make_loader
 from spindleglade.http.client import ClientResponse
-from spindleglade.leadership.term import LEADER, Term
+from spindleglade.leadership.term import LEADER_KEY, Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import NextStateLimits, StateLimits
 from spindleglade.store.client import StateClient
@@ -146,7 +146,7 @@
         cluster.observe_job(JobRecord("open", spec(job, 1), 8), service.revision)
         cluster.on_heartbeat(Heartbeat(machine, "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
         cluster.apply_plan(Plan(placements=[Placement(job, 0, machine)]), clock.now())
-    service._write([{"set": LEADER, "v": {}}])
+    service._write([{"set": LEADER_KEY, "v": {}}])
     client = StateClient(ImmediateRequester(service), "", clock, limits, 1, seconds(1))
     term = Term(TOKEN, service.revision, 1)
     writer = StateWriter(cluster, client, clock, term, {}, StateWriterEvents(lambda: None, str))
--- a/spindleglade/workers/write_collection.py
+++ b/spindleglade/workers/write_collection.py
@@ -5,8 +5,8 @@
 
 from spindleglade.store.messages import encode_value
 from spindleglade.submissions.records import (
-    OVERFLOW_RANGES,
-    TASK_RANGES,
+    OVERFLOW_RANGE_KEY_PREFIX,
+    TASK_RANGE_KEY_PREFIX,
     JobRecord,
     JobState,
     TaskRangeRecord,
@@ -155,7 +155,7 @@
             return [key for key in job.ranges.keys(job_id) if key in self._stored_revisions]
         return [
             key
-            for prefix in (TASK_RANGES, OVERFLOW_RANGES)
+            for prefix in (TASK_RANGE_KEY_PREFIX, OVERFLOW_RANGE_KEY_PREFIX)
             for key in sorted(self._stored_revisions)
             if key.startswith(f"{prefix}{job_id}/")
         ]
--- a/spindleglade/workers/write_transaction.py
+++ b/spindleglade/workers/write_transaction.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from spindleglade.leadership.term import LEADER
+from spindleglade.leadership.term import LEADER_KEY
 from spindleglade.store.messages import Condition, Delete, Put, encode_value
 from spindleglade.submissions.records import job_key
 from spindleglade.workers.write_batch import TaskRangeWrite, WriteBatch
@@ -45,7 +45,7 @@
     def __init__(self, batch: WriteBatch, leader_mod_revision: int, mod_revisions: dict[str, int]) -> None:
         self._stored_revisions = mod_revisions
         # The modification revision that each key must have. Several writes of a batch may share a condition.
-        self._required_revisions = {LEADER: leader_mod_revision}
+        self._required_revisions = {LEADER_KEY: leader_mod_revision}
         self.changes: list[Put | Delete] = []
         for write in batch.ranges:
             self._add_range(write)
--- a/tests/production_names.py
+++ b/tests/production_names.py
@@ -31,7 +31,7 @@
     "_leader_cancellation_freshness": "_leaders_bound",
     "_on_connection_lost": "_down",
     "_on_message": "_received",
-    "_on_request": "_asked",
+    "_on_peer_message": "_asked",
     "connections": "links",
     "incarnation": "session",
     "is_leader": "leads",
--- a/tests/simulation/peer_connections.py
+++ b/tests/simulation/peer_connections.py
@@ -77,7 +77,7 @@
         raise TimeoutError
     local_end = SimulatedPeerConnection(deployment, local, remote, connection._on_message)
     remote_end = SimulatedPeerConnection(
-        deployment, remote, local, deployment.controllers[remote].peers._on_request
+        deployment, remote, local, deployment.controllers[remote].peers._on_peer_message
     )
     local_end.peer, remote_end.peer = remote_end, local_end
 
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -27,7 +27,7 @@
 from spindleglade.backfill.distributions import History
 from spindleglade.fleet import messages as cloud
 from spindleglade.fleet.client import CloudClient
-from spindleglade.fleet.machine_types import MORE_TYPES
+from spindleglade.fleet.machine_types import MORE_MACHINE_TYPES_KEY_PREFIX
 from spindleglade.http.client import ClientResponse
 from spindleglade.http.server import HEARTBEAT_PATH, HttpResponse
 from spindleglade.leadership import peer_messages, term
@@ -126,17 +126,17 @@
 PIECES = TaskRanges(100, 250, [120, 210])
 
 KEYS: dict[str, Any] = {
-    "prefix": records.PREFIX,
-    "jobs": records.JOBS,
-    "tasks": records.TASK_RANGES,
-    "parts": records.OVERFLOW_RANGES,
-    "dependencies": records.DEPENDENCIES,
-    "history": records.HISTORY,
-    "vouched": records.LEASE_RENEWALS,
-    "types": records.TYPES,
-    "more types": MORE_TYPES,
-    "leader": term.LEADER,
-    "token": term.TOKEN,
+    "prefix": records.KEY_PREFIX,
+    "jobs": records.JOB_KEY_PREFIX,
+    "tasks": records.TASK_RANGE_KEY_PREFIX,
+    "parts": records.OVERFLOW_RANGE_KEY_PREFIX,
+    "dependencies": records.DEPENDENCY_KEY_PREFIX,
+    "history": records.HISTORY_KEY_PREFIX,
+    "vouched": records.LEASE_RENEWAL_KEY_PREFIX,
+    "types": records.MACHINE_TYPES_KEY,
+    "more types": MORE_MACHINE_TYPES_KEY_PREFIX,
+    "leader": term.LEADER_KEY,
+    "token": term.TOKEN_KEY,
     "job key": records.job_key("job-17"),
     "chunk key": records.range_key("job-17", 42),
     "part key": records.overflow_range_key("job-17", 345),
@@ -235,7 +235,7 @@
     client = state_client(RecordingRequester([]))
     known = views.JobViews()
     known.on_change(records.job_key("job-17"), pinned("messages", "records: job")["full"].encode(), 5)
-    replica = Replica(client, ManualClock(), records.PREFIX, ONE_SECOND, ONE_SECOND)
+    replica = Replica(client, ManualClock(), records.KEY_PREFIX, ONE_SECOND, ONE_SECOND)
     return UserApi(client, replica, known, {}, lambda: None, no_sibling, ManualClock().utc)
 
 
--- a/tests/test_smaller_values.py
+++ b/tests/test_smaller_values.py
@@ -3,7 +3,7 @@
 from spindleglade.runtime.clock import seconds
 from spindleglade.settings import OperatorSettings
 from spindleglade.settings.operator import BackfillSettings
-from spindleglade.submissions.records import HISTORY, JOBS, LEASE_RENEWALS
+from spindleglade.submissions.records import HISTORY_KEY_PREFIX, JOB_KEY_PREFIX, LEASE_RENEWAL_KEY_PREFIX
 from tests.deployment_config import DeploymentConfig
 from tests.fakes.encoding import encode
 from tests.simulated_deployment import SimulatedDeployment
@@ -41,9 +41,9 @@
         deployment.network.cut(name, [*machines, near], False, seconds(20))
     # Long enough for the first values, and then for machines that nobody vouches for to be given up.
     deployment.run(seconds(6))
-    vouched = sizes(deployment, f"{LEASE_RENEWALS}{near}/")
+    vouched = sizes(deployment, f"{LEASE_RENEWAL_KEY_PREFIX}{near}/")
     assert len(vouched) > 1 and max(vouched.values()) <= MOST_BYTES
-    named = deployment.state.keys[f"{LEASE_RENEWALS}{near}/1"][0]
+    named = deployment.state.keys[f"{LEASE_RENEWAL_KEY_PREFIX}{near}/1"][0]
     assert len(named) > MANY // 10
     deployment.run(seconds(10))
     gone = [name for name, worker in deployment.workers.items() if worker.terminated]
@@ -60,7 +60,7 @@
     deployment.users.poll_until_over(job)
     deployment.run(seconds(40))
     assert deployment.jobs.observed_states[job] == "done"
-    assert not sizes(deployment, HISTORY) and not deployment.state.rejected_for_size
+    assert not sizes(deployment, HISTORY_KEY_PREFIX) and not deployment.state.rejected_for_size
 
 
 def test_the_end_of_a_job_with_a_long_record_is_written_in_a_shorter_form():
@@ -72,7 +72,7 @@
     deployment.users.poll_until_over(job)
     while not deployment.executions.started:
         deployment.run(seconds(0.5))
-    assert sizes(deployment, JOBS)[JOBS + job] > MOST_BYTES
+    assert sizes(deployment, JOB_KEY_PREFIX)[JOB_KEY_PREFIX + job] > MOST_BYTES
     deployment.processes.announce_limits(SMALL)
     for index in range(3):
         deployment.faults.restart(index, seconds(0.5))
@@ -80,6 +80,6 @@
     deployment.state.lower_limits(**SMALL)
     deployment.run(seconds(40))
     assert deployment.jobs.observed_states[job] == "done"
-    assert sizes(deployment, JOBS)[JOBS + job] <= MOST_BYTES
+    assert sizes(deployment, JOB_KEY_PREFIX)[JOB_KEY_PREFIX + job] <= MOST_BYTES
     refused = deployment.state.rejected_for_size
     assert len(set(refused)) == len(refused)
