--- a/spindleglade/backfill/distributions.py
+++ b/spindleglade/backfill/distributions.py
@@ -103,14 +103,14 @@
             # Locality (paper, section 3): recent runs predict better, so older ones lose weight.
             counts *= HISTORY_DECAY
 
-    def runs(self, team: str) -> float:
+    def run_count(self, team: str) -> float:
         """The number of runs in the team's history, in which older runs may count for less than one."""
         counts = self._counts.get(team)
         return 0.0 if counts is None else float(counts.sum())
 
     def distribution(self, team: str) -> Array | None:
         """The team's run-time distribution over the bins; None if its history is not used."""
-        if not self._use_history or self.runs(team) < self._min_runs:
+        if not self._use_history or self.run_count(team) < self._min_runs:
             return None
         counts = self._counts[team]
         distribution: Array = counts / counts.sum()
--- a/spindleglade/backfill/placement.py
+++ b/spindleglade/backfill/placement.py
@@ -6,7 +6,13 @@
 from spindleglade.backfill.plan import Placement, UnplacedDemand
 from spindleglade.backfill.planning_state import PlanningState
 from spindleglade.backfill.reservation import Reservation, reserve_capacity
-from spindleglade.backfill.snapshot import JobView, Key, RunningTask, is_best_effort, unclaimed_guarantee_cpus
+from spindleglade.backfill.snapshot import (
+    GroupKey,
+    JobView,
+    RunningTask,
+    is_best_effort,
+    unclaimed_guarantee_cpus,
+)
 
 # One in this many waiting tasks of an overdue job is placed ahead of all other jobs.
 _TASKS_PER_OVERDUE_START = 8
@@ -19,7 +25,7 @@
         self._state = state
         self._reservation = reservation
         # Placement keys of jobs that fit on no machine now.
-        self._unplaceable_keys: set[Key] = set()
+        self._unplaceable_keys: set[GroupKey] = set()
 
     def place_all(self) -> None:
         """Places overdue jobs first, then all jobs by priority, urgency and submission order."""
--- a/spindleglade/backfill/plan.py
+++ b/spindleglade/backfill/plan.py
@@ -55,7 +55,7 @@
     released: Array
 
     @classmethod
-    def nothing(cls) -> "ExpectedRelease":
+    def empty(cls) -> "ExpectedRelease":
         """An empty release: no machines and no tasks."""
         return cls([], np.zeros((0, 3)), np.zeros(0, np.int64), np.zeros(0), np.zeros((0, 3)))
 
@@ -70,7 +70,7 @@
     reserved_capacity: list[tuple[str, str, int]] = field(default_factory=list)
     unplaced: list[UnplacedDemand] = field(default_factory=list)
     # A function, so that the release is computed only when scaling the fleet needs it.
-    expected_release: Callable[[], ExpectedRelease] = ExpectedRelease.nothing
+    expected_release: Callable[[], ExpectedRelease] = ExpectedRelease.empty
     # Free CPUs of usable machines, and the CPUs that each team uses.
     spare_cpus: float = 0.0
     used_cpus: dict[str, float] = field(default_factory=dict)
--- a/spindleglade/backfill/preemption.py
+++ b/spindleglade/backfill/preemption.py
@@ -10,7 +10,7 @@
 from spindleglade.backfill.arrays import Array
 from spindleglade.backfill.plan import Preemption, UnplacedDemand
 from spindleglade.backfill.planning_state import PlanningState
-from spindleglade.backfill.snapshot import CAPACITY_TOLERANCE, JobView, Key, RunningTask, is_best_effort
+from spindleglade.backfill.snapshot import CAPACITY_TOLERANCE, GroupKey, JobView, RunningTask, is_best_effort
 
 # Once a planning pass preempts this many tasks, the remaining demand waits for the next pass.
 _MAX_PREEMPTIONS = 24
@@ -57,7 +57,7 @@
             return
         reserved_counts = self._apply_earlier_preemptions()
         # Keys of jobs for which no further task can be preempted.
-        refused_keys: set[Key] = set()
+        refused_keys: set[GroupKey] = set()
         for demand in self._eligible_demand():
             job = demand.job
             key = (job.team, job.rank, job.placement_key())
--- a/spindleglade/backfill/reservation.py
+++ b/spindleglade/backfill/reservation.py
@@ -7,7 +7,7 @@
 from spindleglade.backfill.planning_state import PlanningState
 from spindleglade.backfill.probability import DelayModel
 from spindleglade.backfill.readiness import readiness
-from spindleglade.backfill.snapshot import JobView, Key
+from spindleglade.backfill.snapshot import GroupKey, JobView
 
 # Capacity for overdue jobs may be reserved on one in this many machines, and always on at least one.
 _MACHINES_PER_RESERVATION = 16
@@ -31,7 +31,7 @@
         # Units taken by tasks that were backfilled in this pass.
         self._units_taken = 0
         # Equivalence keys of tasks that may not take a unit.
-        self._refused_keys: set[Key] = set()
+        self._refused_keys: set[GroupKey] = set()
 
     def reserve(self, job: JobView, task_count: int) -> None:
         """Gives the reservation to the job, unless another job holds it already."""
--- a/spindleglade/backfill/snapshot.py
+++ b/spindleglade/backfill/snapshot.py
@@ -19,7 +19,7 @@
 
 
 # A key by which jobs or tasks are grouped.
-Key = tuple[Hashable, ...]
+GroupKey = tuple[Hashable, ...]
 
 # The columns of `task_rows`. The start of a task that has not begun to run is NaN.
 TEAM_COLUMN = 0
@@ -152,7 +152,7 @@
     # Whether its dependents will miss a deadline unless it starts now.
     is_urgent: bool = False
 
-    def equivalence_key(self) -> Key:
+    def equivalence_key(self) -> GroupKey:
         """The key of equivalent tasks: if one may not be backfilled, none of them may."""
         return (
             self.team,
@@ -170,7 +170,7 @@
             self.estimate,
         )
 
-    def placement_key(self) -> Key:
+    def placement_key(self) -> GroupKey:
         """The key of tasks that fit on the same machines."""
         return (self.cpus, self.gpus, self.memory, self.types, self.zone, self.spot)
 
--- a/spindleglade/backfill/test_urgency.py
+++ b/spindleglade/backfill/test_urgency.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from spindleglade.backfill.test_planner import job, machine, plan, started
-from spindleglade.backfill.urgency import ChainedJob, Urgency, urgencies
+from spindleglade.backfill.urgency import PipelineJob, Urgency, urgencies
 from spindleglade.runtime.clock import seconds
 
 JOBS = st.lists(
@@ -29,7 +29,7 @@
     jobs = {}
     for number, (rank, deadline, expected, dependent_offsets) in enumerate(job_fields):
         due = None if deadline is None else seconds(deadline)
-        jobs[str(number)] = ChainedJob(
+        jobs[str(number)] = PipelineJob(
             rank, due, seconds(expected), [str(number + step) for step in dependent_offsets]
         )
 
@@ -44,7 +44,7 @@
         paths = list(paths_to_ends(job_id))
         assert urgency.rank == max(jobs[path[-1]].rank for path in paths)
         deadlines = [
-            jobs[path[-1]].deadline - sum((jobs[step].expected for step in path[1:]), timedelta(0))
+            jobs[path[-1]].deadline - sum((jobs[step].expected_run_time for step in path[1:]), timedelta(0))
             for path in paths
             if jobs[path[-1]].deadline is not None
         ]
@@ -54,8 +54,8 @@
 
 def test_a_pipeline_of_thousands_of_jobs_is_resolved_in_one_pass():
     size = 20_000
-    jobs = {str(n): ChainedJob(1, None, seconds(1), [str(n + 1)]) for n in range(size - 1)}
-    jobs[str(size - 1)] = ChainedJob(3, seconds(size), seconds(1), [])
+    jobs = {str(n): PipelineJob(1, None, seconds(1), [str(n + 1)]) for n in range(size - 1)}
+    jobs[str(size - 1)] = PipelineJob(3, seconds(size), seconds(1), [])
     began = time.process_time()
     assert urgencies(jobs)["0"] == Urgency(3, seconds(1))
     assert time.process_time() - began < 5
--- a/spindleglade/backfill/urgency.py
+++ b/spindleglade/backfill/urgency.py
@@ -10,14 +10,14 @@
 from typing import NamedTuple
 
 
-class ChainedJob(NamedTuple):
+class PipelineJob(NamedTuple):
     """An unfinished job of a pipeline."""
 
     rank: int
     # Deadline of the job itself; None if it has none.
     deadline: timedelta | None
     # Expected run time of its tasks.
-    expected: timedelta
+    expected_run_time: timedelta
     # Ids of its direct dependents. Finished ones are ignored.
     dependents: Sequence[str]
 
@@ -29,7 +29,7 @@
     deadline: timedelta | None
 
 
-def urgencies(jobs: Mapping[str, ChainedJob]) -> dict[str, Urgency]:
+def urgencies(jobs: Mapping[str, PipelineJob]) -> dict[str, Urgency]:
     """Computes the urgency of each job, in one pass from the ends of the pipelines to their beginnings."""
     dependents = {
         job_id: [dependent for dependent in dict.fromkeys(job.dependents) if dependent in jobs]
@@ -53,11 +53,11 @@
     return urgency_by_job
 
 
-def _combine(job: ChainedJob, dependents: list[tuple[ChainedJob, Urgency]]) -> Urgency:
+def _combine(job: PipelineJob, dependents: list[tuple[PipelineJob, Urgency]]) -> Urgency:
     """Combines the priority and deadline of a job with the urgency of its dependents."""
     rank = max([job.rank, *(urgency.rank for _, urgency in dependents)])
     deadlines = [] if job.deadline is None else [job.deadline]
     for dependent, urgency in dependents:
         if urgency.deadline is not None:
-            deadlines.append(urgency.deadline - dependent.expected)
+            deadlines.append(urgency.deadline - dependent.expected_run_time)
     return Urgency(rank, min(deadlines, default=None))
--- a/spindleglade/controller/controller.py
+++ b/spindleglade/controller/controller.py
@@ -177,7 +177,7 @@
             self._peer_requests.forward_request,
             clock.utc,
         )
-        validity = workers.cancel - workers.lease - seconds(settings.workers.cancel_margin_s)
+        validity = workers.cancellation_time - workers.lease - seconds(settings.workers.cancel_margin_s)
         freshness = CancellationFreshness(clock, validity, lambda: self.replica.current_as_of)
         # The leader knows which tasks it has started, so it may also rely on the peers' cancellation reports.
         cancellations = self._peer_heartbeats.cancellations
--- a/spindleglade/controller/history_writer.py
+++ b/spindleglade/controller/history_writer.py
@@ -48,7 +48,7 @@
     async def write_changed(self) -> None:
         """Writes the histories of all teams that have new runs since their last write."""
         teams, writes = self._collect_writes()
-        batch_size = self._client.limits.operations
+        batch_size = self._client.limits.max_transaction_changes
         for batch_start in range(0, len(writes), batch_size):
             if not await self._write(writes[batch_start : batch_start + batch_size]):
                 with self._cluster.lock:
@@ -66,7 +66,7 @@
                 for team in sorted(teams)
             ]
         # About 25 bins take a few hundred bytes. A history with too many bins for one value is not written.
-        limit = self._client.limits.value_bytes
+        limit = self._client.limits.new_value_bytes
         return teams, [put for put in writes if len(put.value) <= limit]
 
     async def _write(self, puts: list[Put]) -> bool:
--- a/spindleglade/controller/leader.py
+++ b/spindleglade/controller/leader.py
@@ -61,7 +61,7 @@
         return self._running is not None and not self._stopped
 
     @property
-    def running(self) -> RunningLeader:
+    def components(self) -> RunningLeader:
         """The components of the leader. Raises RuntimeError before the recovery is complete."""
         if self._running is None:
             raise RuntimeError(f"recovery is not complete: token {self.term.token}")
@@ -70,7 +70,7 @@
     @property
     def cluster(self) -> ClusterState:
         """The state of the cluster. Raises RuntimeError before the recovery is complete."""
-        return self.running.cluster
+        return self.components.cluster
 
     async def _fail_over(self) -> None:
         """Recovers the cluster state from the stored records, then creates and starts the components."""
@@ -112,14 +112,14 @@
 
         Raises RuntimeError before the recovery is complete.
         """
-        return self.running.on_heartbeat(heartbeat)
+        return self.components.on_heartbeat(heartbeat)
 
     @property
     def stall_reason(self) -> str | None:
         """Why this leader has stalled: the records could not be read, or one of its loops fails repeatedly or
         has been in one pass for too long. None if it has not stalled."""
         if self.is_active:
-            return self.running.stall_reason
+            return self.components.stall_reason
         if self._clock.now() - self._elected_at > MAX_FAILOVER_DURATION:
             return "the records could not be read"
         return None
@@ -127,11 +127,11 @@
     @property
     def is_unreachable_for_machines(self) -> bool:
         """Whether no request of this leader reaches the machines although their heartbeats arrive."""
-        return self.is_active and self.running.autoscaler.is_unreachable_for_machines
+        return self.is_active and self.components.autoscaler.is_unreachable_for_machines
 
     def receives_no_heartbeats(self, silence_limit: timedelta) -> bool:
         """Whether there are machines, and none of them has sent a heartbeat within `silence_limit`.
 
         Raises RuntimeError before the recovery is complete.
         """
-        return self.running.receives_no_heartbeats(silence_limit)
+        return self.components.receives_no_heartbeats(silence_limit)
--- a/spindleglade/controller/lease_renewal_report.py
+++ b/spindleglade/controller/lease_renewal_report.py
@@ -58,7 +58,7 @@
     async def _write(self, machines: list[str]) -> None:
         """Writes the machine names, split over as many keys as the store's limit on value sizes requires."""
         longest_name = max(map(len, machines))
-        names_per_key = max(1, self._client.limits.value_bytes // (longest_name + JSON_BYTES_PER_NAME))
+        names_per_key = max(1, self._client.limits.new_value_bytes // (longest_name + JSON_BYTES_PER_NAME))
         for batch_start in range(0, len(machines), names_per_key):
             key = f"{LEASE_RENEWAL_KEY_PREFIX}{self._controller}/{batch_start // names_per_key}"
             # The condition keeps a late copy of this request from reporting the same renewals again.
--- a/spindleglade/controller/pipelines.py
+++ b/spindleglade/controller/pipelines.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from spindleglade.backfill.distributions import Predictor
-from spindleglade.backfill.urgency import ChainedJob, urgencies
+from spindleglade.backfill.urgency import PipelineJob, urgencies
 from spindleglade.runtime.clock import ZERO, Clock, seconds
 from spindleglade.submissions.views import JobViews
 from spindleglade.workers.cluster_state import ClusterState
-from spindleglade.workers.jobs import ChainMember
+from spindleglade.workers.jobs import PipelineMember
 
 # The shortest time for which changes in the graph are collected before the urgencies are computed again.
 MIN_URGENCY_UPDATE_DELAY = seconds(0.2)
@@ -94,8 +94,8 @@
         if self._stopped:
             return
         started_at = self._clock.now()
-        members = self._cluster.chain_members(self._views.graph.members())
-        jobs = {name: self._chained_job(name, member) for name, member in members.items()}
+        members = self._cluster.pipeline_members(self._views.graph.pipeline_jobs())
+        jobs = {name: self._pipeline_job(name, member) for name, member in members.items()}
         for name, urgency in urgencies(jobs).items():
             latest_start = _latest_start(jobs[name], urgency.deadline)
             self._cluster.set_urgency(name, urgency.rank, latest_start)
@@ -104,13 +104,13 @@
         duration = self._clock.now() - started_at
         self._urgency_update_delay = max(MIN_URGENCY_UPDATE_DELAY, duration / MAX_URGENCY_UPDATE_SHARE)
 
-    def _chained_job(self, name: str, member: ChainMember) -> ChainedJob:
+    def _pipeline_job(self, name: str, member: PipelineMember) -> PipelineJob:
         expected = self._predictor.expected(member.team, member.estimate)
-        return ChainedJob(member.rank, member.deadline, expected, self._views.graph.dependents(name))
+        return PipelineJob(member.rank, member.deadline, expected, self._views.graph.dependents(name))
 
 
-def _latest_start(job: ChainedJob, deadline: timedelta | None) -> timedelta | None:
+def _latest_start(job: PipelineJob, deadline: timedelta | None) -> timedelta | None:
     """When a job should start to meet its inherited deadline; None without dependents or a deadline."""
     if not job.dependents or deadline is None:
         return None
-    return deadline - job.expected * EXPECTED_RUN_TIMES_BEFORE_DEADLINE
+    return deadline - job.expected_run_time * EXPECTED_RUN_TIMES_BEFORE_DEADLINE
--- a/spindleglade/controller/running_leader.py
+++ b/spindleglade/controller/running_leader.py
@@ -168,7 +168,7 @@
             MachineSupply(
                 lambda: machine_types.types,
                 dependencies.platform.params.zones,
-                dependencies.platform.soonest_start,
+                dependencies.platform.min_start_objective,
             ),
             WorkerConnections(
                 self._dispatcher.request_status,
--- a/spindleglade/controller/wiring.py
+++ b/spindleglade/controller/wiring.py
@@ -91,4 +91,4 @@
         await sleep(clock, IDLE_CONNECTION_CHECK_INTERVAL)
         closed = server.close_idle()
         if closed:
-            log.debug("idle connections closed count=%d open=%d", closed, sockets.open)
+            log.debug("idle connections closed count=%d open=%d", closed, sockets.open_connections)
--- a/spindleglade/fleet/machine_types.py
+++ b/spindleglade/fleet/machine_types.py
@@ -107,9 +107,9 @@
     async def _store(self, types: list[MachineType]) -> None:
         """Writes the types, in as many values as needed, under the keys that do not exist yet. The value that
         all versions read is written last and contains as many types as fit."""
-        puts = _encode_types(types, self._client.limits.value_bytes)
+        puts = _encode_types(types, self._client.limits.new_value_bytes)
         missing = [put for put in reversed(puts) if put.key not in self._replica.mod_revisions]
-        max_operations = self._client.limits.operations
+        max_operations = self._client.limits.max_transaction_changes
         try:
             for start in range(0, len(missing), max_operations):
                 batch = missing[start : start + max_operations]
--- a/spindleglade/fleet/provisioning.py
+++ b/spindleglade/fleet/provisioning.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from spindleglade.backfill.plan import UnplacedDemand
-from spindleglade.backfill.snapshot import JobView, Key
+from spindleglade.backfill.snapshot import GroupKey, JobView
 from spindleglade.fleet.capacity import CapacityPool, is_eligible
 from spindleglade.fleet.machine_pool import MachineOffer, MachinePool
 from spindleglade.settings.platform import Team
@@ -137,7 +137,7 @@
 
 def _group_demand(unplaced: list[UnplacedDemand], on_demand: OnDemandUse) -> list[_DemandGroup]:
     """Groups the demand by the machines that it fits; groups keep the order of their first demand."""
-    groups: dict[Key, _DemandGroup] = {}
+    groups: dict[GroupKey, _DemandGroup] = {}
     for demand in unplaced:
         may_use_on_demand = on_demand.allows(demand)
         key = _group_key(demand.job, may_use_on_demand)
@@ -149,7 +149,7 @@
     return list(groups.values())
 
 
-def _group_key(job: JobView, may_use_on_demand: bool) -> Key:
+def _group_key(job: JobView, may_use_on_demand: bool) -> GroupKey:
     """The key of a group: demand with the same key fits the same machines and counts against the same limit.
     A group is provisioned for as a whole, since scanning hundreds of machines for each of hundreds of jobs
     would cost the leader too much time."""
--- a/spindleglade/fleet/scale_out.py
+++ b/spindleglade/fleet/scale_out.py
@@ -48,7 +48,7 @@
         self._requests = ProvisioningRequests(context, state, backoff, self._on_request_finished)
         self._on_demand_policy = OnDemandPolicy(context.settings)
         self._unplaced_demand: list[UnplacedDemand] = []
-        self._expected_release: Callable[[], ExpectedRelease] = ExpectedRelease.nothing
+        self._expected_release: Callable[[], ExpectedRelease] = ExpectedRelease.empty
 
     def on_plan(self, plan: Plan) -> None:
         """Takes over the unplaced demand and the expected releases of the latest plan."""
--- a/spindleglade/fleet/test_machine_types.py
+++ b/spindleglade/fleet/test_machine_types.py
@@ -27,8 +27,8 @@
         self.subscribers.append(on_change)
 
     async def compare_and_swap(self, conditions, writes, urgent=False):
-        assert len(writes) <= self.limits.operations
-        assert all(len(put.value) <= self.limits.value_bytes for put in writes)
+        assert len(writes) <= self.limits.max_transaction_changes
+        assert all(len(put.value) <= self.limits.new_value_bytes for put in writes)
         assert [(condition.key, condition.mod_revision) for condition in conditions] == [
             (put.key, 0) for put in writes
         ]
--- a/spindleglade/http/connection_budget.py
+++ b/spindleglade/http/connection_budget.py
@@ -27,27 +27,27 @@
     def __init__(self, limit: int) -> None:
         """`limit` is the number of sockets that the controller's machine allows."""
         self.limit = limit
-        self.open = 0
+        self.open_connections = 0
         self._nearly_exhausted_at = int(limit * NEARLY_EXHAUSTED_SHARE)
         self._exhausted_at = int(limit * EXHAUSTED_SHARE)
 
     def on_opened(self) -> None:
         """Counts one more connection; called when the attempt to connect starts."""
-        self.open += 1
+        self.open_connections += 1
 
     def on_closed(self) -> None:
         """Counts one connection less; called when it is closed or could not be made."""
-        self.open -= 1
+        self.open_connections -= 1
 
     @property
     def nearly_exhausted(self) -> bool:
         """Whether idle connections should be closed early."""
-        return self.open >= self._nearly_exhausted_at
+        return self.open_connections >= self._nearly_exhausted_at
 
     @property
     def exhausted(self) -> bool:
         """Whether only the reserve for the state service, the cloud, peers and health checks is left."""
-        return self.open >= self._exhausted_at
+        return self.open_connections >= self._exhausted_at
 
     @property
     def max_concurrent_commands(self) -> int:
--- a/spindleglade/http/test_client.py
+++ b/spindleglade/http/test_client.py
@@ -17,13 +17,13 @@
         return connection, reactor.tcpClients[-1][2]
 
     attempt, factory = connect()
-    assert budget.open == 1
+    assert budget.open_connections == 1
     factory.clientConnectionFailed(None, OSError("refused"))
-    assert budget.open == 0
+    assert budget.open_connections == 0
     attempt.addErrback(lambda failure: None)
     _, factory = connect()
     protocol = factory.buildProtocol(IPv4Address("TCP", "10.0.0.1", 9000))
     protocol.makeConnection(StringTransport())
-    assert budget.open == 1
+    assert budget.open_connections == 1
     protocol.connectionLost(None)
-    assert budget.open == 0
+    assert budget.open_connections == 0
--- a/spindleglade/http/test_concurrency.py
+++ b/spindleglade/http/test_concurrency.py
@@ -60,13 +60,13 @@
 def test_the_reserve_stays_free_and_nothing_idle_is_kept_near_it():
     http, budget = ControlledRequester(), ConnectionBudget(320)
     limiter = ConcurrencyLimiter(http, ManualClock(), budget)
-    budget.open = 239
+    budget.open_connections = 239
     send(limiter, 1)
     http.pending.pop().callback(ClientResponse(200, b""))
     assert http.idle_close_calls == 0
-    budget.open = 240
+    budget.open_connections = 240
     send(limiter, 1)
     http.pending.pop().callback(ClientResponse(200, b""))
     assert http.idle_close_calls == 1
-    budget.open = 280
+    budget.open_connections = 280
     assert isinstance(send(limiter, 1)[0], ConnectionLimitError) and not http.pending
--- a/spindleglade/http/test_server.py
+++ b/spindleglade/http/test_server.py
@@ -38,9 +38,9 @@
     clock, budget = ManualClock(), ConnectionBudget(320)
     server = http_server(handle, budget, clock, seconds(14))
     worker, user, active_worker = Connection(server), Connection(server), Connection(server)
-    assert budget.open == 3
+    assert budget.open_connections == 3
     if under_pressure:
-        budget.open += 300
+        budget.open_connections += 300
     worker.send(b"/v1/report")
     user.send(b"/submissions")
     clock.advance(seconds(13))
@@ -53,4 +53,4 @@
     assert server.close_idle() == 0
     clock.advance(seconds(1))
     assert server.close_idle() == 1 and user.closed and not active_worker.closed
-    assert len(server.channels) == 1 and budget.open == (301 if under_pressure else 1)
+    assert len(server.channels) == 1 and budget.open_connections == (301 if under_pressure else 1)
--- a/spindleglade/settings/platform.py
+++ b/spindleglade/settings/platform.py
@@ -27,7 +27,7 @@
     address: Address = msgspec.field(name="endpoint")
 
 
-class External(msgspec.Struct, frozen=True):
+class ServiceAddresses(msgspec.Struct, frozen=True):
     """Addresses of the cloud and the state service."""
 
     cloud: Address
@@ -76,7 +76,7 @@
         return timedelta(seconds=self.lease_s)
 
     @property
-    def cancel(self) -> timedelta:
+    def cancellation_time(self) -> timedelta:
         """The time within which all tasks of a job have stopped after its cancellation was confirmed."""
         return timedelta(seconds=self.cancel_s)
 
@@ -129,22 +129,22 @@
         )
 
     @property
-    def value_bytes(self) -> int:
+    def new_value_bytes(self) -> int:
         """Size in bytes up to which new values are filled, under the current and the announced limit."""
         return int(self.lowest.value_kb * 1024 * NEW_VALUE_SHARE)
 
     @property
-    def largest_new_value(self) -> int:
+    def max_new_value_bytes(self) -> int:
         """Size in bytes up to which a new value that cannot be made smaller is still written."""
         return int(self.lowest.value_kb * 1024)
 
     @property
-    def largest_value(self) -> int:
+    def max_value_bytes(self) -> int:
         """Maximum size in bytes of a value that was sized before lower limits were announced."""
         return int(self.value_kb * 1024)
 
     @property
-    def operations(self) -> int:
+    def max_transaction_changes(self) -> int:
         """Maximum number of changes in one transaction, under the current and the announced limit."""
         return self.lowest.txn_ops
 
@@ -182,7 +182,7 @@
     client_listen: Address
     peer_listen: Address = msgspec.field(name="peer_bind")
     peers: list[Peer] = msgspec.field(name="siblings")
-    external: External
+    external: ServiceAddresses
     params: Params
 
     @property
@@ -196,7 +196,7 @@
         return {team.name: team for team in self.params.teams}
 
     @property
-    def soonest_start(self) -> timedelta | None:
+    def min_start_objective(self) -> timedelta | None:
         """The shortest time within which tasks must start by an objective; None if no objective limits it."""
         max_waits_s = [
             objective.within_s for objective in self.params.objectives if objective.kind == WAIT_OBJECTIVE
--- a/spindleglade/settings/test_settings.py
+++ b/spindleglade/settings/test_settings.py
@@ -63,7 +63,11 @@
 
 def test_unknown_fields_of_the_platform_are_ignored(tmp_path):
     loaded = load_platform(write_file(tmp_path, VALID_SETTINGS | {"later": [1, {"x": None}]}))
-    assert loaded.controller_count == 2 and loaded.teams["t"].cpus_max == 8.0 and loaded.soonest_start is None
+    assert (
+        loaded.controller_count == 2
+        and loaded.teams["t"].cpus_max == 8.0
+        and loaded.min_start_objective is None
+    )
 
 
 @pytest.mark.parametrize("limits", [{}, {"cpus_max": 0.0, "gpus_max": 0}, {"cpus_max": 0, "gpus_max": 2.0}])
@@ -121,16 +125,20 @@
 def test_announced_limits_that_are_not_smaller_change_nothing(tmp_path, announced):
     plain = load_platform(write_file(tmp_path, VALID_SETTINGS)).params.state
     limits = load_platform(write_file(tmp_path, settings_with(ANNOUNCED_LIMITS, announced))).params.state
-    assert limits.lowest == plain and limits.operations == 12 and limits.value_bytes == int(16 * 1024 * 0.9)
-    assert limits.largest_value == limits.largest_new_value == 16 * 1024
+    assert (
+        limits.lowest == plain
+        and limits.max_transaction_changes == 12
+        and limits.new_value_bytes == int(16 * 1024 * 0.9)
+    )
+    assert limits.max_value_bytes == limits.max_new_value_bytes == 16 * 1024
 
 
 def test_the_smaller_of_both_limits_is_used(tmp_path):
     announced = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 28}
     limits = load_platform(write_file(tmp_path, settings_with(ANNOUNCED_LIMITS, announced))).params.state
-    assert (limits.lowest.rps, limits.lowest.write_rps, limits.operations) == (100.0, 28.0, 4)
-    assert limits.value_bytes == int(2 * 1024 * 0.9) and limits.largest_new_value == 2048
-    assert limits.largest_value == 16 * 1024
+    assert (limits.lowest.rps, limits.lowest.write_rps, limits.max_transaction_changes) == (100.0, 28.0, 4)
+    assert limits.new_value_bytes == int(2 * 1024 * 0.9) and limits.max_new_value_bytes == 2048
+    assert limits.max_value_bytes == 16 * 1024
 
 
 @pytest.mark.parametrize("path", FIELD_PATHS)
--- a/spindleglade/store/client.py
+++ b/spindleglade/store/client.py
@@ -90,15 +90,15 @@
         self._size_refusal_seen = False
 
     @property
-    def value_bytes(self) -> int:
+    def existing_value_bytes(self) -> int:
         """The limit in bytes for writing values that exist already.
 
-        It is the present limit until this process sees the first refusal for size, then `limits.value_bytes`,
-        which follows from the smaller of the present and the announced limit. The limits fall only after all
-        processes run a version that knows of the fall, so every process that reads a value split under the
-        smaller limit understands its ranges.
+        It is the present limit until this process sees the first refusal for size, then
+        `limits.new_value_bytes`, which follows from the smaller of the present and the announced limit. The
+        limits fall only after all processes run a version that knows of the fall, so every process that reads
+        a value split under the smaller limit understands its ranges.
         """
-        return self.limits.value_bytes if self._size_refusal_seen else self.limits.largest_value
+        return self.limits.new_value_bytes if self._size_refusal_seen else self.limits.max_value_bytes
 
     @property
     def request_interval(self) -> timedelta:
--- a/spindleglade/store/test_client.py
+++ b/spindleglade/store/test_client.py
@@ -70,13 +70,13 @@
     _, requester, client = make_client()
     requester.service.lower_limits(2.0, 4)
     large = [Put("sg/a", encode_value("x" * 3000))]
-    assert client.value_bytes == 16 * 1024
+    assert client.existing_value_bytes == 16 * 1024
     (error,) = start_call(client.compare_and_swap([Condition("sg/a", 0)], large))
-    assert type(error) is ValueTooLargeError and client.value_bytes == LIMITS.value_bytes < 2048
+    assert type(error) is ValueTooLargeError and client.existing_value_bytes == LIMITS.new_value_bytes < 2048
     # A transaction refused for an expired lease does not change the limit.
     _, requester, client = make_client()
     (error,) = start_call(client.compare_and_swap([], [Put("sg/a", encode_value(1), lease=9)]))
-    assert type(error) is LeaseExpiredError and client.value_bytes == 16 * 1024
+    assert type(error) is LeaseExpiredError and client.existing_value_bytes == 16 * 1024
 
 
 def count_writes(clock, client, duration):
--- a/spindleglade/submissions/acceptance.py
+++ b/spindleglade/submissions/acceptance.py
@@ -25,15 +25,15 @@
     """
     job = record.spec.id
     value = encode_value(record)
-    if not record.dependencies or len(value) <= limits.value_bytes:
+    if not record.dependencies or len(value) <= limits.new_value_bytes:
         return [Put(job_key(job), value)]
-    lists = split_dependencies(record.dependencies, limits.value_bytes)
+    lists = split_dependencies(record.dependencies, limits.new_value_bytes)
     without_dependencies = msgspec.structs.replace(record, dependencies=[], dependency_keys=len(lists))
     writes = [Put(job_key(job), encode_value(without_dependencies))]
     for number, names in enumerate(lists):
         writes.append(Put(dependency_key(job, number), encode_value(names)))
     value_bytes = sum(len(write.value) for write in writes)
-    if len(writes) > limits.operations or value_bytes > MAX_TRANSACTION_VALUE_BYTES:
+    if len(writes) > limits.max_transaction_changes or value_bytes > MAX_TRANSACTION_VALUE_BYTES:
         raise TooManyDependenciesError(job, len(record.dependencies))
     return writes
 
--- a/spindleglade/submissions/cancellation.py
+++ b/spindleglade/submissions/cancellation.py
@@ -58,14 +58,14 @@
     async def _write_cancelled_record(self, job: str, record: JobRecord) -> HttpResponse | None:
         """Writes the job's record as cancelled. Returns the response, or None to try again."""
         key = job_key(job)
-        cancelled = final_record(record, JobState.CANCELLED, self._client.value_bytes)
+        cancelled = final_record(record, JobState.CANCELLED, self._client.existing_value_bytes)
         record_unchanged = Condition(key, self._replica.mod_revisions.get(key, 0))
         value = encode_value(cancelled)
         try:
             result = await self._client.compare_and_swap([record_unchanged], [Put(key, value)], urgent=True)
         except ValueTooLargeError as error:
             log.info("cancellation too large job=%s reason=%s", job, error)
-            shortened = final_record(record, JobState.CANCELLED, self._client.value_bytes)
+            shortened = final_record(record, JobState.CANCELLED, self._client.existing_value_bytes)
             # A retry helps only if the record can be shortened: the same value would be refused again.
             return RETRY_LATER if shortened == cancelled else None
         except (NotAppliedError, OutcomeUnknownError) as error:
--- a/spindleglade/submissions/dependencies.py
+++ b/spindleglade/submissions/dependencies.py
@@ -51,7 +51,7 @@
         """The unreleased jobs that depend directly on this one."""
         return tuple(self._dependents.get(job, ()))
 
-    def members(self) -> set[str]:
+    def pipeline_jobs(self) -> set[str]:
         """All jobs that wait for a dependency, and all dependencies that jobs wait for."""
         return self._unfinished_dependencies.keys() | self._dependents.keys()
 
--- a/spindleglade/submissions/submission.py
+++ b/spindleglade/submissions/submission.py
@@ -58,7 +58,7 @@
         self._teams = teams
         self._shapes = shapes
         self._utc = utc
-        self._range_size = tasks_per_range(client.limits.value_bytes)
+        self._range_size = tasks_per_range(client.limits.new_value_bytes)
 
     async def submit(self, body: bytes) -> HttpResponse:
         """Handles a submission and returns the response for its user."""
@@ -105,7 +105,7 @@
 
     async def _accept(self, job: Submission, writes: list[Put]) -> HttpResponse:
         """Commits the writes that accept the job, with its record first, and returns the response."""
-        if len(writes[0].value) > self._client.limits.largest_new_value:
+        if len(writes[0].value) > self._client.limits.max_new_value_bytes:
             return await self._reject_unless_known(job.id, JOB_TOO_LARGE)
         record_absent = Condition(job_key(job.id), 0)
         try:
--- a/spindleglade/submissions/test_api.py
+++ b/spindleglade/submissions/test_api.py
@@ -29,7 +29,7 @@
     def __init__(self):
         self.limits = StateLimits(100.0, 40.0, 16.0, 12)
         # The limit known to the client, the limit that the service enforces, and the writes it has refused.
-        self.value_bytes, self.enforced_value_bytes, self.refused_writes = 16 * 1024, 16 * 1024, []
+        self.existing_value_bytes, self.enforced_value_bytes, self.refused_writes = 16 * 1024, 16 * 1024, []
         self.keys, self.mod_revisions, self.revision, self.reachable = {}, {}, 0, True
         self.views = JobViews()
         # If set, a Deferred that the response to a transaction waits for.
@@ -50,7 +50,7 @@
         if any(len(write.value) > self.enforced_value_bytes for write in writes):
             assert writes not in self.refused_writes, "repeated unchanged"
             self.refused_writes.append(writes)
-            self.value_bytes = self.limits.value_bytes
+            self.existing_value_bytes = self.limits.new_value_bytes
             raise ValueTooLargeError("400")
         failed = {
             condition.key
--- a/spindleglade/submissions/test_dependencies.py
+++ b/spindleglade/submissions/test_dependencies.py
@@ -317,7 +317,7 @@
     names = [f"job-{number:06d}" for number in range(count)]
     writes = acceptance_writes(JobRecord("open", spec("job-999999"), 8, None, names), limits)
     assert len(writes) <= limits.txn_ops
-    assert all(len(write.value) <= limits.value_bytes for write in writes)
+    assert all(len(write.value) <= limits.new_value_bytes for write in writes)
     views, shuffled = JobViews(), list(writes)
     random.Random(count).shuffle(shuffled)
     apply_writes(views, *shuffled)
@@ -349,16 +349,16 @@
 
 
 def test_the_graph_forgets_pipelines_that_are_over():
-    """Otherwise each later pass over all members would visit every job that was ever cancelled."""
+    """Otherwise each later pass over all pipeline jobs would visit every job that was ever cancelled."""
     graph = DependencyGraph()
     for first_outcome in (DependencyOutcome.DONE, DependencyOutcome.CANCELLED):
         first, second, third = (f"job-{first_outcome.value}-{number}" for number in range(3))
         for job, dependencies in ((first, []), (second, [first]), (third, [first, second])):
             graph.observe(job, DependencyOutcome.OPEN)
             graph.add(job, dependencies)
-        assert len(graph.members()) == 3
+        assert len(graph.pipeline_jobs()) == 3
         graph.observe(first, first_outcome)
         graph.observe(second, DependencyOutcome.CANCELLED)
-        assert not graph.members() and graph.is_cancelled(third) and not graph.is_released(third)
-        # A later job with a cancelled dependency is not kept among the members either.
-        assert graph.add(f"{third}-late", [third]) == {f"{third}-late"} and not graph.members()
+        assert not graph.pipeline_jobs() and graph.is_cancelled(third) and not graph.is_released(third)
+        # A later job with a cancelled dependency is not kept among the pipeline jobs either.
+        assert graph.add(f"{third}-late", [third]) == {f"{third}-late"} and not graph.pipeline_jobs()
--- a/spindleglade/submissions/test_records.py
+++ b/spindleglade/submissions/test_records.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("value_kb", [0.5, 4.0, 16.0, 64.0])
 def test_the_longest_task_range_fits_into_a_value(value_kb):
-    range_size = tasks_per_range(StateLimits(100.0, 40.0, value_kb, 12).value_bytes)
+    range_size = tasks_per_range(StateLimits(100.0, 40.0, value_kb, 12).new_value_bytes)
     longest_attempt = StoredAttempt(1 << 32, "n-0000000000000000", 1 << 32)
     range_record = TaskRangeRecord(placed={99_999 - task: longest_attempt for task in range(range_size)})
     assert len(encode_value(range_record)) <= value_kb * 1024
--- a/spindleglade/workers/attempt_outcomes.py
+++ b/spindleglade/workers/attempt_outcomes.py
@@ -86,7 +86,7 @@
     def _on_task_done(self, machine: Machine, attempt: Attempt, now: timedelta) -> None:
         job = attempt.job
         job.task_states[attempt.index] = DONE
-        job.done += 1
+        job.done_count += 1
         self._add_image(machine, job)
         # The duration of an attempt that resumed from a checkpoint is only a part of the run time.
         ran_from_start = attempt.attempt == 1 or job.spec.checkpoint_s == 0
@@ -140,7 +140,7 @@
         ):
             # The task is done, though by an attempt that is no longer placed, and its result is kept.
             job.task_states[index] = DONE
-            job.done += 1
+            job.done_count += 1
             self._changes.mark_task_changed(job, index)
             machine.exited[key] = ExitedAttempt(job, index, job.version(index))
         else:
--- a/spindleglade/workers/cluster_data.py
+++ b/spindleglade/workers/cluster_data.py
@@ -39,7 +39,7 @@
     pending_start_writes: dict[TaskRangeId, None] = field(default_factory=dict)
     # Writes that failed when tried alone, such as those that are too large: the version of a task range, or
     # the revision of the record of a done job (DONE_RECORD). They are not tried again before they change.
-    oversized_writes: dict[TaskRangeId, int] = field(default_factory=dict)
+    suspended_writes: dict[TaskRangeId, int] = field(default_factory=dict)
     # The names of machines that may have commands to be sent directly, the longest queued first. A machine
     # without such commands leaves the queue. Each event that may lead to a command queues it again: its
     # heartbeat, a committed write, an answered command, a stop. Examining every machine each time would take
--- a/spindleglade/workers/cluster_state.py
+++ b/spindleglade/workers/cluster_state.py
@@ -19,7 +19,7 @@
 from spindleglade.workers.command_selection import CommandSelection, DirectCommands
 from spindleglade.workers.heartbeat_reconciliation import HeartbeatReconciliation
 from spindleglade.workers.job_updates import JobUpdates
-from spindleglade.workers.jobs import ChainMember, Job
+from spindleglade.workers.jobs import Job, PipelineMember
 from spindleglade.workers.machine_registry import MachineRegistry
 from spindleglade.workers.machine_usability import MachineUsability
 from spindleglade.workers.machines import Machine, MachineLocation, MachineReachability, MachineTypeCapacity
@@ -82,7 +82,7 @@
         self.terminated: set[str] = data.terminated
         self.pending_writes: dict[TaskRangeId, None] = data.pending_writes
         self.pending_start_writes: dict[TaskRangeId, None] = data.pending_start_writes
-        self.oversized_writes: dict[TaskRangeId, int] = data.oversized_writes
+        self.suspended_writes: dict[TaskRangeId, int] = data.suspended_writes
         self.dispatch_queue: dict[str, None] = data.dispatch_queue
 
     # Machines.
@@ -144,7 +144,7 @@
         """Whether any task of the job is placed or done."""
         with self.lock:
             job = self.jobs.get(job_id)
-            return job is not None and bool(job.placed or job.done)
+            return job is not None and bool(job.placed or job.done_count)
 
     def observe_job(
         self, record: JobRecord, mod_revision: int, now: timedelta = ZERO, age: timedelta = ZERO
@@ -168,10 +168,10 @@
         with self.lock:
             self._job_updates.set_has_dependents(job_id, has_dependents)
 
-    def chain_members(self, names: Iterable[str]) -> dict[str, ChainMember]:
+    def pipeline_members(self, names: Iterable[str]) -> dict[str, PipelineMember]:
         """The pipeline properties of those of the named jobs that are open, by job ID."""
         with self.lock:
-            return self._job_updates.chain_members(names)
+            return self._job_updates.pipeline_members(names)
 
     def set_urgency(self, job_id: str, rank: int, latest_start: timedelta | None) -> None:
         """Sets the rank and the latest start that the job inherits from its dependents."""
@@ -233,10 +233,10 @@
         with self.lock:
             self._write_queue.on_range_committed(job_id, first_task, version)
 
-    def suspend_oversized_writes(self, batch: WriteBatch) -> None:
+    def suspend_writes(self, batch: WriteBatch) -> None:
         """Suspends a write that failed when tried alone, such as one that is too large, until it changes."""
         with self.lock:
-            self._write_queue.suspend_oversized(batch)
+            self._write_queue.suspend(batch)
 
     def requeue(self, batch: WriteBatch) -> None:
         """Queues the writes of a batch again, none of which was committed."""
--- a/spindleglade/workers/job_updates.py
+++ b/spindleglade/workers/job_updates.py
@@ -7,7 +7,7 @@
 from spindleglade.submissions.records import JobRecord, JobState
 from spindleglade.workers.attempts import EndReason, StopReason
 from spindleglade.workers.cluster_data import ClusterData
-from spindleglade.workers.jobs import ChainMember, Job, estimate
+from spindleglade.workers.jobs import Job, PipelineMember, estimate
 from spindleglade.workers.state_changes import StateChanges
 
 
@@ -76,11 +76,11 @@
         if job is not None:
             job.has_dependents = has_dependents
 
-    def chain_members(self, names: Iterable[str]) -> dict[str, ChainMember]:
+    def pipeline_members(self, names: Iterable[str]) -> dict[str, PipelineMember]:
         """The pipeline properties of those of the named jobs that are open, by job ID."""
         jobs = [self._data.jobs[name] for name in names if name in self._data.jobs]
         return {
-            job.id: ChainMember(
+            job.id: PipelineMember(
                 PRIORITY_RANK[job.spec.priority], job.deadline, job.spec.team, estimate(job.spec)
             )
             for job in jobs
--- a/spindleglade/workers/jobs.py
+++ b/spindleglade/workers/jobs.py
@@ -36,7 +36,7 @@
     return spec.save_s + GRACE_PERIOD_MARGIN_S if spec.checkpoint_s > 0 else 0.0
 
 
-class ChainMember(NamedTuple):
+class PipelineMember(NamedTuple):
     """The properties of an open job that the urgencies of its pipelines are computed from."""
 
     rank: int
@@ -49,14 +49,14 @@
     """A job in the leader's memory, with the state and the attempts of all its tasks."""
 
     __slots__ = (
-        "accepted",
+        "accepted_at",
         "attempts",
         "avoided_machines",
         "backoff",
         "cancelled",
         "committed_versions",
         "deadline",
-        "done",
+        "done_count",
         "failed_on",
         "finished",
         "has_dependents",
@@ -81,7 +81,7 @@
         self.spec = record.spec
         self.id = record.spec.id
         self.range_size = record.range_size
-        self.accepted = record.accepted_at
+        self.accepted_at = record.accepted_at
         # Orders jobs by submission, which is the order in which the store committed their records.
         self.submission_revision = mod_revision
         self.mod_revision = mod_revision
@@ -95,7 +95,7 @@
         # By task number.
         self.placed: dict[int, Attempt] = {}
         # The number of tasks that are done.
-        self.done = 0
+        self.done_count = 0
         self.cancelled = record.state == JobState.CANCELLED
         # Whether the record says that the job is done, after which none of its tasks is placed.
         self.finished = record.state == JobState.DONE
@@ -128,7 +128,7 @@
     @property
     def is_complete(self) -> bool:
         """Whether all tasks are done."""
-        return self.done == len(self.task_states)
+        return self.done_count == len(self.task_states)
 
     def version(self, index: int) -> int:
         """The latest version of the task range that contains the task."""
--- a/spindleglade/workers/machine_usability.py
+++ b/spindleglade/workers/machine_usability.py
@@ -54,7 +54,7 @@
         pending = Counter(
             self._pending_reason(job, used, now)
             for job in self._data.jobs.values()
-            if job.is_open and job.done + len(job.placed) < len(job.task_states)
+            if job.is_open and job.done_count + len(job.placed) < len(job.task_states)
         )
         if not pending:
             return None
--- a/spindleglade/workers/machines.py
+++ b/spindleglade/workers/machines.py
@@ -15,9 +15,9 @@
 
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
     cache_gb: float
-    pull_gb_per_s: float
+    fetch_gb_per_s: float
 
 
 class MachineLocation(NamedTuple):
--- a/spindleglade/workers/planning_bridge.py
+++ b/spindleglade/workers/planning_bridge.py
@@ -96,7 +96,7 @@
             job.released
             and job.is_open
             and job.paused_until <= now
-            and job.done + len(job.placed) < len(job.task_states)
+            and job.done_count + len(job.placed) < len(job.task_states)
             and not (job.placed and job.spec.kind == JobKind.GANG)
         )
 
--- a/spindleglade/workers/state_recovery.py
+++ b/spindleglade/workers/state_recovery.py
@@ -28,7 +28,7 @@
     """
     spec = job.spec
     probe_attempts = job.attempts.get(0, 0)
-    if probe_attempts <= PROBE_ATTEMPT_LEAD or job.done or spec.is_gang or spec.checkpoint_s > 0:
+    if probe_attempts <= PROBE_ATTEMPT_LEAD or job.done_count or spec.is_gang or spec.checkpoint_s > 0:
         return False
     if any(index != 0 for index in job.placed):
         return False
@@ -73,7 +73,7 @@
         for first, last in record.done:
             for index in range(first, last + 1):
                 job.task_states[index] = DONE
-                job.done += 1
+                job.done_count += 1
         if record.done or record.placed:
             # The time of the job's latest start is not recorded.
             job.waiting_since = now
--- a/spindleglade/workers/state_writer.py
+++ b/spindleglade/workers/state_writer.py
@@ -177,10 +177,10 @@
             else:
                 self._mod_revisions[write.key] = revision
             self._cluster.on_range_committed(write.job, write.first_task, write.version)
-        for job, _, record in batch.done:
+        for job, _, record in batch.done_jobs:
             self._cluster.on_job_recorded_done(job, revision)
             self._events.on_record_observed(job_key(job), bytes(encode_value(record)), revision)
-        for _, key in batch.removed:
+        for _, key in batch.removals:
             self._mod_revisions.pop(key, None)
         self._forget_finished_jobs(batch)
 
--- a/spindleglade/workers/test_dependents.py
+++ b/spindleglade/workers/test_dependents.py
@@ -120,7 +120,7 @@
 def complete_job(harness, id):
     job = harness.cluster.jobs[id]
     for index in range(len(job.task_states)):
-        job.task_states[index], job.done = 2, job.done + 1
+        job.task_states[index], job.done_count = 2, job.done_count + 1
         harness.cluster._changes.mark_task_changed(job, index)
 
 
@@ -132,10 +132,12 @@
         complete_job(harness, f"job-{number}")
     harness.place()
     harness.cluster.set_has_dependents("job-5", True)
-    assert [done for done, _, _ in harness.cluster.collect_writes(1, {}).done] == ["job-5"]
+    assert [done for done, _, _ in harness.cluster.collect_writes(1, {}).done_jobs] == ["job-5"]
     # Next come the starts, and then the ends of the other jobs.
     batch = harness.cluster.collect_writes(2, {})
-    assert [job for job, *_ in batch.ranges] == ["job-1"] and [job for job, _, _ in batch.done] == ["job-2"]
+    assert [job for job, *_ in batch.ranges] == ["job-1"] and [job for job, _, _ in batch.done_jobs] == [
+        "job-2"
+    ]
 
 
 @pytest.mark.parametrize("fate", ["ok", "not applied", "response lost"])
--- a/spindleglade/workers/test_heartbeat_reconciliation.py
+++ b/spindleglade/workers/test_heartbeat_reconciliation.py
@@ -178,7 +178,7 @@
     harness = Harness().with_running_task()
     harness.now += seconds(3)
     harness.send_heartbeat(("job-1/0", 1, "exited", "error"))
-    assert harness.cluster.predictor.runs("t") == 0
+    assert harness.cluster.predictor.run_count("t") == 0
     harness.commit_writes()
     harness.place(1)
     harness.commit_writes()
@@ -187,4 +187,4 @@
     harness.send_heartbeat(("job-1/1", 1, "running"))
     harness.now += seconds(3)
     harness.send_heartbeat(("job-1/1", 1, "exited", "done"))
-    assert harness.cluster.predictor.runs("t") == 1
+    assert harness.cluster.predictor.run_count("t") == 1
--- a/spindleglade/workers/test_state_writer.py
+++ b/spindleglade/workers/test_state_writer.py
@@ -29,7 +29,7 @@
         self.revision, self.mod_revisions = 10, {LEADER_KEY: 5, job_key("job-1"): 1}
         self.values = {}
         self.outcomes, self.sizes, self.spare_writes = list(outcomes), [], 12
-        self.value_bytes = 16 * 1024
+        self.existing_value_bytes = 16 * 1024
 
     async def compare_and_swap(self, conditions, writes, urgent=False):
         outcome = self.outcomes.pop(0) if self.outcomes else "ok"
--- a/spindleglade/workers/test_state_writer_errors.py
+++ b/spindleglade/workers/test_state_writer_errors.py
@@ -46,7 +46,7 @@
     cluster.on_heartbeat(Heartbeat("n-1", "x:1", "m", "z", True, 1, 1, TOKEN, []), now, True)
     cluster.apply_plan(Plan(placements=[Placement(job, 0, "n-1") for job in STARTING]), now)
     ended = cluster.jobs[DONE_JOB]
-    ended.task_states[0], ended.done = DONE, 1
+    ended.task_states[0], ended.done_count = DONE, 1
     cluster._changes.mark_task_changed(ended, 0)
     mod_revisions = {range_key(CANCELLED_JOB, 0): 9}
     store.mod_revisions |= mod_revisions
@@ -122,7 +122,7 @@
     async def compare_and_swap(self, conditions, writes, urgent=False):
         self.sent.append(tuple((write.key, bytes(write.value)) for write in writes if isinstance(write, Put)))
         if any(write.key == self._rejected_key for write in writes if isinstance(write, Put)):
-            self.value_bytes = 20
+            self.existing_value_bytes = 20
             raise ValueTooLargeError("400")
         return await super().compare_and_swap(conditions, writes, urgent)
 
--- a/spindleglade/workers/test_state_writer_sequences.py
+++ b/spindleglade/workers/test_state_writer_sequences.py
@@ -39,10 +39,10 @@
 
     async def request(self, method, address, path, body=None, timeout=None):
         model = self.model
-        fate = model.fates.pop(0) if model.fates else "ok"
-        if fate == "not applied":
+        outcome = model.outcomes.pop(0) if model.outcomes else "ok"
+        if outcome == "not applied":
             return ClientResponse(503, b"{}")
-        if fate == "delayed":
+        if outcome == "delayed":
             if method == "POST":
                 model.delayed_requests.append((method, path, body))
             raise NoResponseError("timed out")
@@ -52,9 +52,9 @@
             rejected = (model.token, msgspec.json.encode(msgspec.json.decode(body)["writes"]))
             assert rejected not in model.rejected_writes, "rejected writes were sent again unchanged"
             model.rejected_writes.append(rejected)
-        if fate == "response lost":
+        if outcome == "response lost":
             raise NoResponseError("timed out")
-        if fate == "slow":
+        if outcome == "slow":
             waiter = Deferred()
             model.clock.later(seconds(1), waiter.callback, None)
             await waiter
@@ -63,10 +63,10 @@
 
 ANY_JOB, ANY_MACHINE = st.sampled_from(["job-1", "job-2"]), st.sampled_from(["n-1", "n-2"])
 INDICES = st.sets(st.integers(0, 4), min_size=1)
-FATES = st.lists(st.sampled_from(["ok", "slow", "not applied", "response lost", "delayed"]), max_size=5)
+OUTCOMES = st.lists(st.sampled_from(["ok", "slow", "not applied", "response lost", "delayed"]), max_size=5)
 
 
-class RecordsStory(RuleBasedStateMachine):
+class StateWriterSequences(RuleBasedStateMachine):
     """Successive leaders with their state writers, a state service with late, lost and rejecting responses,
     users who cancel jobs, and workers that execute commands.
 
@@ -75,24 +75,24 @@
     """
 
     SIZES = {"job-1": 5, "job-2": 1}
-    CHUNK = 2
+    RANGE_SIZE = 2
     LIMITS = StateLimits(1e4, 1e4, 16.0, 12)
     # How many tasks are placed at a time, and end at a time, while `teardown` completes all jobs.
-    AT_ONCE = 9
+    MAX_TASKS_AT_ONCE = 9
 
     def __init__(self):
         super().__init__()
         self.clock = ManualClock()
         self.service = StateService(self.clock)
-        self.fates, self.delayed_requests, self.observed_changes, self.rejected_writes = [], [], 0, []
+        self.outcomes, self.delayed_requests, self.observed_changes, self.rejected_writes = [], [], 0, []
         self.machines = {name: {} for name in ("n-1", "n-2")}
         self.incarnations = dict.fromkeys(self.machines, 1)
         self.sequences = dict.fromkeys(self.machines, 0)
         self.tokens = dict.fromkeys(self.machines, 0)
-        self.done, self.given, self.final_states = set(), {}, {}
+        self.done, self.machine_of_start, self.final_states = set(), {}, {}
         self.token, self.writer = 0, None
         for job, tasks in self.SIZES.items():
-            self.write(job_key(job), JobRecord("open", spec(job, tasks), self.CHUNK))
+            self.write(job_key(job), JobRecord("open", spec(job, tasks), self.RANGE_SIZE))
         self.start_leader()
 
     def write(self, key, value):
@@ -151,7 +151,7 @@
         self.writer.wake()
 
     @rule(machine=ANY_MACHINE)
-    def report(self, machine):
+    def send_heartbeat(self, machine):
         self.sequences[machine] += 1
         tasks = [TaskStatus(*key, *status) for key, status in self.machines[machine].items()]
         heartbeat = Heartbeat(
@@ -163,7 +163,9 @@
         for command in commands:
             key, attempts = (command.task, command.attempt), self.machines[machine]
             if command.operation == "start" and key not in attempts:
-                assert self.given.setdefault(key, machine) == machine, "an attempt started on two machines"
+                assert self.machine_of_start.setdefault(key, machine) == machine, (
+                    "an attempt started on two machines"
+                )
                 attempts[key] = ("exited", "done") if command.task in self.done else ("running",)
             elif command.operation == "stop" and attempts.get(key) == ("running",):
                 attempts[key] = ("exited", "halted")
@@ -172,27 +174,27 @@
                 del attempts[key]
         self.writer.wake()
 
-    @rule(job=ANY_JOB, indices=INDICES, to=ANY_MACHINE, fates=FATES)
-    def place(self, job, indices, to, fates):
+    @rule(job=ANY_JOB, indices=INDICES, to=ANY_MACHINE, outcomes=OUTCOMES)
+    def place(self, job, indices, to, outcomes):
         # The machine may learn the new token only from the response to the first heartbeat.
-        self.report(to)
-        self.report(to)
-        self.fates = fates
+        self.send_heartbeat(to)
+        self.send_heartbeat(to)
+        self.outcomes = outcomes
         if job in self.cluster.jobs:
             starts = [Placement(job, index, to) for index in sorted(indices) if index < self.SIZES[job]]
             self.cluster.apply_plan(Plan(placements=starts), self.clock.now())
             self.wait(0.01)
-            self.report(to)
+            self.send_heartbeat(to)
 
-    @rule(machine=ANY_MACHINE, fates=FATES, most=st.integers(1, 3))
-    def tasks_end(self, machine, fates, most):
+    @rule(machine=ANY_MACHINE, outcomes=OUTCOMES, most=st.integers(1, 3))
+    def end_tasks(self, machine, outcomes, most):
         running = [key for key, status in self.machines[machine].items() if status == ("running",)]
         for key in running[:most]:
             self.machines[machine][key] = ("exited", "done")
             self.done.add(key[0])
         if running:
-            self.fates = fates
-            self.report(machine)
+            self.outcomes = outcomes
+            self.send_heartbeat(machine)
 
     @rule(machine=ANY_MACHINE)
     def expire_lease(self, machine):
@@ -241,11 +243,11 @@
                 self.apply_delayed_request(0)
             self.deliver_changes(9)
             for machine in self.machines:
-                self.report(machine)
+                self.send_heartbeat(machine)
             self.wait(2.0)
 
     def teardown(self):
-        self.fates = []
+        self.outcomes = []
         self.settle()
         assert not self.deposed
         for job in self.cluster.jobs.values():
@@ -268,10 +270,10 @@
                     assert task_range == job.encode_range(first)
         for _ in range(3):
             for job in list(self.cluster.jobs.values()):
-                self.place(job.id, job.waiting_tasks(self.AT_ONCE), "n-1", [])
+                self.place(job.id, job.waiting_tasks(self.MAX_TASKS_AT_ONCE), "n-1", [])
             self.settle()
             for machine in self.machines:
-                self.tasks_end(machine, [], self.AT_ONCE)
+                self.end_tasks(machine, [], self.MAX_TASKS_AT_ONCE)
             self.settle()
             self.final_records_stay_and_are_true()
         # A record of a finished job may have come late; the next leader removes what is left of the job.
@@ -282,5 +284,5 @@
         assert not any(self.machines.values())
 
 
-TestRecordsStory = RecordsStory.TestCase
-TestRecordsStory.settings = settings(max_examples=300, stateful_step_count=100)
+TestStateWriterSequences = StateWriterSequences.TestCase
+TestStateWriterSequences.settings = settings(max_examples=300, stateful_step_count=100)
--- a/spindleglade/workers/test_task_range_splitting.py
+++ b/spindleglade/workers/test_task_range_splitting.py
@@ -18,7 +18,12 @@
 from spindleglade.workers.jobs import DONE
 from spindleglade.workers.messages import Heartbeat, split_task
 from spindleglade.workers.state_writer import StateWriter, StateWriterEvents
-from spindleglade.workers.test_state_writer_sequences import ANY_JOB, ANY_MACHINE, FATES, RecordsStory
+from spindleglade.workers.test_state_writer_sequences import (
+    ANY_JOB,
+    ANY_MACHINE,
+    OUTCOMES,
+    StateWriterSequences,
+)
 from tests.cluster_harness import TOKEN, make_cluster, spec
 from tests.fakes.state_service import StateService
 
@@ -29,16 +34,16 @@
 )
 
 
-class SplittingSequences(RecordsStory):
+class SplittingSequences(StateWriterSequences):
     """The sequences of the base class, with task ranges that exceed the lowered limits, which take effect at
     any time. After each change of the store, a new leader and the followers know every placement, every
     attempt number and every end after which a worker has forgotten the attempt, in whichever order they read
     the keys."""
 
     SIZES = {"job-1": 100, "job-2": 40}
-    CHUNK = 64
+    RANGE_SIZE = 64
     LIMITS = StateLimits(1e4, 1e4, 16.0, 12, LOWER_LIMITS)
-    AT_ONCE = 100
+    MAX_TASKS_AT_ONCE = 100
 
     def __init__(self):
         self.views, self.followed_revision, self.forgotten_tasks = JobViews(), 0, set()
@@ -51,18 +56,18 @@
 
         self.service._write = write
 
-    @rule(job=ANY_JOB, indices=INDEX_RANGES, to=ANY_MACHINE, fates=FATES)
-    def place(self, job, indices, to, fates):
-        super().place(job, indices, to, fates)
+    @rule(job=ANY_JOB, indices=INDEX_RANGES, to=ANY_MACHINE, outcomes=OUTCOMES)
+    def place(self, job, indices, to, outcomes):
+        super().place(job, indices, to, outcomes)
 
-    @rule(machine=ANY_MACHINE, fates=FATES, most=st.integers(1, 70))
-    def tasks_end(self, machine, fates, most):
-        super().tasks_end(machine, fates, most)
+    @rule(machine=ANY_MACHINE, outcomes=OUTCOMES, most=st.integers(1, 70))
+    def end_tasks(self, machine, outcomes, most):
+        super().end_tasks(machine, outcomes, most)
 
     @rule(machine=ANY_MACHINE)
-    def report(self, machine):
+    def send_heartbeat(self, machine):
         before = dict(self.machines[machine])
-        super().report(machine)
+        super().send_heartbeat(machine)
         for key, status in before.items():
             if status == ("exited", "done") and key not in self.machines[machine]:
                 self.forgotten_tasks.add(key[0])
@@ -97,10 +102,10 @@
             for views in (self.views, late_views):
                 if job.is_open:
                     view = views.jobs[job.id]
-                    assert (view.done_count, view.running) == (job.done, len(job.placed))
+                    assert (view.done_count, view.running) == (job.done_count, len(job.placed))
             if not job.is_open:
                 continue
-            for task, attempt in self.given:
+            for task, attempt in self.machine_of_start:
                 name, index = split_task(task)
                 if name == job.id:
                     assert job.task_states[index] == DONE or job.attempts.get(index, 0) >= attempt, task
--- a/spindleglade/workers/write_batch.py
+++ b/spindleglade/workers/write_batch.py
@@ -53,12 +53,12 @@
 
     # The order matters: a range follows the overflow ranges to its right that are not in the store yet.
     ranges: list[TaskRangeWrite] = field(default_factory=list)
-    done: list[CompletedJobWrite] = field(default_factory=list)
-    removed: list[TaskRangeRemoval] = field(default_factory=list)
+    done_jobs: list[CompletedJobWrite] = field(default_factory=list)
+    removals: list[TaskRangeRemoval] = field(default_factory=list)
     # Ids of the jobs that can be forgotten once the removals are committed.
     finished_jobs: dict[str, None] = field(default_factory=dict)
 
     @property
     def size(self) -> int:
         """The number of operations in the transaction."""
-        return len(self.ranges) + len(self.done) + len(self.removed)
+        return len(self.ranges) + len(self.done_jobs) + len(self.removals)
--- a/spindleglade/workers/write_batcher.py
+++ b/spindleglade/workers/write_batcher.py
@@ -23,9 +23,9 @@
         self._client = client
         # The store allows four conditions for each change. A batch has one on the leader key and at most
         # three for each of its changes.
-        self._max_changes = max(1, client.limits.operations - 1)
+        self._max_changes = max(1, client.limits.max_transaction_changes - 1)
         # The size limit of a value that applied when the latest batch was collected, in bytes.
-        self._max_value_bytes = client.value_bytes
+        self._max_value_bytes = client.existing_value_bytes
         # The values of the latest batch that was rejected as too large; None: no batch was rejected so far.
         self._rejected_values: list[BatchValue] | None = None
         # How many further batches are limited to a single change, after a larger batch failed.
@@ -35,7 +35,7 @@
         """Takes the next batch out of the cluster state's pending writes. `mod_revisions` are those of the
         task ranges in the store."""
         max_changes = 1 if self._single_change_batches else self._max_changes
-        self._max_value_bytes = self._client.value_bytes
+        self._max_value_bytes = self._client.existing_value_bytes
         return self._cluster.collect_writes(
             max_changes, mod_revisions, self._client.spare_writes, self._max_value_bytes
         )
@@ -57,7 +57,7 @@
         is suspended until it changes.
         """
         self._rejected_values = batch_values(batch)
-        limit = self._client.value_bytes
+        limit = self._client.existing_value_bytes
         if limit < self._max_value_bytes and any(len(value) > limit for _, value in self._rejected_values):
             log.info("batch too large changes=%d limit_bytes=%d reason=%s", batch.size, limit, reason)
         elif batch.size > 1:
@@ -66,7 +66,7 @@
         else:
             keys = ",".join(key for key, _ in self._rejected_values)
             log.error("value too large, not written keys=%s reason=%s", keys, reason)
-            self._cluster.suspend_oversized_writes(batch)
+            self._cluster.suspend_writes(batch)
         self._cluster.requeue(batch)
 
     def isolate_failing_change(self, batch: WriteBatch) -> None:
@@ -75,7 +75,7 @@
         if batch.size > 1:
             self._single_change_batches = batch.size
         else:
-            self._cluster.suspend_oversized_writes(batch)
+            self._cluster.suspend_writes(batch)
 
     def _limit_bytes(self, batch: WriteBatch) -> None:
         """Puts back the writes that would make the transaction larger than the store accepts. Eleven full
@@ -88,6 +88,6 @@
             kept += 1
         postponed = WriteBatch(ranges=batch.ranges[kept:])
         batch.ranges = batch.ranges[:kept]
-        if size > MAX_RANGE_BYTES_WITH_DONE_RECORDS and batch.done:
-            postponed.done, batch.done = batch.done, []
+        if size > MAX_RANGE_BYTES_WITH_DONE_RECORDS and batch.done_jobs:
+            postponed.done_jobs, batch.done_jobs = batch.done_jobs, []
         self._cluster.requeue(postponed)
--- a/spindleglade/workers/write_collection.py
+++ b/spindleglade/workers/write_collection.py
@@ -126,14 +126,14 @@
     def _collect_done_job(self, job: Job) -> None:
         """Adds the final record of a job with all tasks done, unless the batch already contains it or the
         store has rejected it as too large."""
-        rejected_revision = self._data.oversized_writes.get(TaskRangeId(job.id, DONE_RECORD))
+        rejected_revision = self._data.suspended_writes.get(TaskRangeId(job.id, DONE_RECORD))
         if rejected_revision == job.mod_revision or any(
-            job_id == job.id for job_id, _, _ in self._batch.done
+            job_id == job.id for job_id, _, _ in self._batch.done_jobs
         ):
             return
-        record = JobRecord(JobState.OPEN, job.spec, job.range_size, job.accepted)
+        record = JobRecord(JobState.OPEN, job.spec, job.range_size, job.accepted_at)
         record = final_record(record, JobState.DONE, self._limits.max_value_bytes)
-        self._batch.done.append(CompletedJobWrite(job.id, job.mod_revision, record))
+        self._batch.done_jobs.append(CompletedJobWrite(job.id, job.mod_revision, record))
 
     def _collect_removals(self, range_id: TaskRangeId, max_operations: int) -> None:
         """Adds the removals of a finished job's task ranges. The job stays pending if some do not fit."""
@@ -143,7 +143,7 @@
             return
         for key in self._stored_keys(job_id):
             if self._batch.size < max_operations:
-                self._batch.removed.append(TaskRangeRemoval(job_id, key))
+                self._batch.removals.append(TaskRangeRemoval(job_id, key))
             else:
                 self._data.pending_writes[range_id] = None
         self._batch.finished_jobs[job_id] = None
@@ -169,7 +169,7 @@
         writes = self._range_writes(job, first_task, collected)
         for write in reversed(writes):
             range_id = TaskRangeId(job.id, write.first_task)
-            is_rejected = self._data.oversized_writes.get(range_id) == write.version
+            is_rejected = self._data.suspended_writes.get(range_id) == write.version
             if is_rejected and write.first_task == first_task:
                 return
             if is_rejected or self._batch.size >= max_operations:
--- a/spindleglade/workers/write_queue.py
+++ b/spindleglade/workers/write_queue.py
@@ -39,19 +39,19 @@
             else:
                 self.requeue_range(job, write.first_task)
         for job_id in [
-            *(job_id for job_id, _, _ in batch.done),
+            *(job_id for job_id, _, _ in batch.done_jobs),
             *batch.finished_jobs,
-            *(job_id for job_id, _ in batch.removed),
+            *(job_id for job_id, _ in batch.removals),
         ]:
             self._data.pending_writes[TaskRangeId(job_id, 0)] = None
 
-    def suspend_oversized(self, batch: WriteBatch) -> None:
+    def suspend(self, batch: WriteBatch) -> None:
         """Suspends the single write of a batch, which the store rejected as too large or which raised an
         error, until the write changes."""
         for write in batch.ranges:
-            self._data.oversized_writes[TaskRangeId(write.job, write.first_task)] = write.version
-        for job_id, mod_revision, _ in batch.done:
-            self._data.oversized_writes[TaskRangeId(job_id, DONE_RECORD)] = mod_revision
+            self._data.suspended_writes[TaskRangeId(write.job, write.first_task)] = write.version
+        for job_id, mod_revision, _ in batch.done_jobs:
+            self._data.suspended_writes[TaskRangeId(job_id, DONE_RECORD)] = mod_revision
 
     def on_range_committed(self, job_id: str, first_task: int, version: int) -> None:
         """Records that the store holds this version of a task range, so that the starts in it may be sent."""
--- a/spindleglade/workers/write_transaction.py
+++ b/spindleglade/workers/write_transaction.py
@@ -23,16 +23,16 @@
     ranges = [
         BatchValue(write.key, b"" if write.value is None else bytes(write.value)) for write in batch.ranges
     ]
-    done = [BatchValue(job_key(job), bytes(encode_value(record))) for job, _, record in batch.done]
-    removed = [BatchValue(key, b"") for _, key in batch.removed]
+    done = [BatchValue(job_key(job), bytes(encode_value(record))) for job, _, record in batch.done_jobs]
+    removed = [BatchValue(key, b"") for _, key in batch.removals]
     return ranges + done + removed
 
 
 def set_finished_time(batch: WriteBatch, finished: datetime) -> None:
     """Sets the finishing time in the records of the done jobs of a batch."""
-    batch.done = [
+    batch.done_jobs = [
         write._replace(record=msgspec.structs.replace(write.record, finished_at=finished))
-        for write in batch.done
+        for write in batch.done_jobs
     ]
 
 
@@ -49,10 +49,10 @@
         self.changes: list[Put | Delete] = []
         for write in batch.ranges:
             self._add_range(write)
-        for job, mod_revision, record in batch.done:
+        for job, mod_revision, record in batch.done_jobs:
             self._required_revisions[job_key(job)] = mod_revision
             self.changes.append(Put(job_key(job), encode_value(record)))
-        for _, key in batch.removed:
+        for _, key in batch.removals:
             self._require_as_stored(key)
             self._delete_if_stored(key)
 
--- a/tests/production_names.py
+++ b/tests/production_names.py
@@ -38,6 +38,7 @@
     "is_leadership_proven": "_proven",
     "on_closed": "closed",
     "on_opened": "opened",
+    "open_connections": "open",
     "peer": "sibling",
     "peers": "links",
     "permits_renewals": "holds",
--- a/tests/simulation/connections.py
+++ b/tests/simulation/connections.py
@@ -32,4 +32,4 @@
 
     def _count_opened(self, budget: Any) -> None:
         budget.on_opened()
-        self.most_open = max(self.most_open, budget.open)
+        self.most_open = max(self.most_open, budget.open_connections)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -142,7 +142,7 @@
     stuck = deployment.leading_controller().leader
 
     def breaks_here(self, *args, **kwargs):
-        autoscaler = stuck.running.autoscaler
+        autoscaler = stuck.components.autoscaler
         if self in (stuck.cluster, autoscaler._scale_out, autoscaler._machine_list):
             raise Broken
         return method(self, *args, **kwargs)
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -101,7 +101,7 @@
     "records: chunk": Form(records.TaskRangeRecord),
     "records: history": Form(History),
     "platform: sibling": Form(platform.Peer),
-    "platform: external": Form(platform.External),
+    "platform: external": Form(platform.ServiceAddresses),
     "platform: team": Form(platform.Team),
     "platform: objective": Form(platform.Objective),
     "platform: workers": Form(platform.WorkerTimes),
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -192,7 +192,7 @@
         }
         assert {index: jobs[job].attempts[index] for index in chunk.tried} == chunk.tried
         assert all(jobs[job].attempts[index] == one.attempt for index, one in chunk.placed.items())
-        assert jobs[job].done == sum(last - first + 1 for first, last in chunk.done)
+        assert jobs[job].done_count == sum(last - first + 1 for first, last in chunk.done)
         if job in open_jobs:
             assert not jobs[job].cancelled
     # Those that are over are not started again.
