--- a/spindleglade/workers/test_state_writer_sequences.py
+++ b/spindleglade/workers/test_state_writer_sequences.py
@@ -89,6 +89,7 @@
         self.incarnations = dict.fromkeys(self.machines, 1)
         self.sequences = dict.fromkeys(self.machines, 0)
         self.tokens = dict.fromkeys(self.machines, 0)
+        # `machine_of_start` holds the machine on which each attempt was started, by task and attempt number.
         self.done, self.machine_of_start, self.final_states = set(), {}, {}
         self.token, self.writer = 0, None
         for job, tasks in self.SIZES.items():
@@ -186,10 +187,10 @@
             self.wait(0.01)
             self.send_heartbeat(to)
 
-    @rule(machine=ANY_MACHINE, outcomes=OUTCOMES, most=st.integers(1, 3))
-    def end_tasks(self, machine, outcomes, most):
+    @rule(machine=ANY_MACHINE, outcomes=OUTCOMES, max_tasks=st.integers(1, 3))
+    def end_tasks(self, machine, outcomes, max_tasks):
         running = [key for key, status in self.machines[machine].items() if status == ("running",)]
-        for key in running[:most]:
+        for key in running[:max_tasks]:
             self.machines[machine][key] = ("exited", "done")
             self.done.add(key[0])
         if running:
--- a/spindleglade/workers/test_task_range_splitting.py
+++ b/spindleglade/workers/test_task_range_splitting.py
@@ -60,9 +60,9 @@
     def place(self, job, indices, to, outcomes):
         super().place(job, indices, to, outcomes)
 
-    @rule(machine=ANY_MACHINE, outcomes=OUTCOMES, most=st.integers(1, 70))
-    def end_tasks(self, machine, outcomes, most):
-        super().end_tasks(machine, outcomes, most)
+    @rule(machine=ANY_MACHINE, outcomes=OUTCOMES, max_tasks=st.integers(1, 70))
+    def end_tasks(self, machine, outcomes, max_tasks):
+        super().end_tasks(machine, outcomes, max_tasks)
 
     @rule(machine=ANY_MACHINE)
     def send_heartbeat(self, machine):
@@ -209,7 +209,7 @@
 
 
 def test_what_was_recorded_before_a_split_stays_recorded():
-    """Otherwise starts that may be under way would count as never sent when their job is cancelled."""
+    """Otherwise starts that may be in flight would count as never sent when their job is cancelled."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
     cluster._changes.mark_task_changed(job, 0)
@@ -233,7 +233,7 @@
 
 
 def test_an_empty_overflow_range_is_written():
-    """Without it the stale entries in the value of the range to its left would apply to its tasks again."""
+    """Without it the stale entries in the value of the range before it would apply to its tasks again."""
     cluster, stored = recorded_job(40)
     job = cluster.jobs["job-1"]
     cluster._changes.mark_task_changed(job, 0)
