--- a/spindleglade/http/test_concurrency.py
+++ b/spindleglade/http/test_concurrency.py
@@ -60,13 +60,13 @@
 def test_idle_connections_are_closed_near_the_reserve_and_the_reserve_stays_free():
     http, budget = ControlledRequester(), ConnectionBudget(320)
     limiter = ConcurrencyLimiter(http, ManualClock(), budget)
-    budget.open = 239
+    budget.open_connections = 239
     send(limiter, 1)
     http.pending.pop().callback(ClientResponse(200, b""))
     assert http.idle_close_calls == 0
-    budget.open = 240
+    budget.open_connections = 240
     send(limiter, 1)
     http.pending.pop().callback(ClientResponse(200, b""))
     assert http.idle_close_calls == 1
-    budget.open = 280
+    budget.open_connections = 280
     assert isinstance(send(limiter, 1)[0], ConnectionLimitError) and not http.pending
--- a/spindleglade/workers/cluster_state.py
+++ b/spindleglade/workers/cluster_state.py
@@ -82,7 +82,7 @@
         self.terminated: set[str] = data.terminated
         self.pending_writes: dict[TaskRangeId, None] = data.pending_writes
         self.pending_start_writes: dict[TaskRangeId, None] = data.pending_start_writes
-        self.oversized_writes: dict[TaskRangeId, int] = data.oversized_writes
+        self.suspended_writes: dict[TaskRangeId, int] = data.suspended_writes
         self.dispatch_queue: dict[str, None] = data.dispatch_queue
 
     # Machines.
@@ -145,7 +145,7 @@
         """Whether any task of the job is placed or done."""
         with self.lock:
             job = self.jobs.get(job_id)
-            return job is not None and bool(job.placed or job.done)
+            return job is not None and bool(job.placed or job.done_count)
 
     def observe_job(
         self, record: JobRecord, mod_revision: int, now: timedelta = ZERO, age: timedelta = ZERO
@@ -240,11 +240,11 @@
         with self.lock:
             self._write_queue.on_range_committed(job_id, first_task, version)
 
-    def suspend_oversized_writes(self, batch: WriteBatch) -> None:
+    def suspend_writes(self, batch: WriteBatch) -> None:
         """Suspends the single write of a batch that failed, such as one that is too large, until the write
         changes."""
         with self.lock:
-            self._write_queue.suspend_oversized(batch)
+            self._write_queue.suspend(batch)
 
     def requeue(self, batch: WriteBatch) -> None:
         """Puts back all writes of a batch that was not committed."""
--- a/spindleglade/workers/test_state_writer_sequences.py
+++ b/spindleglade/workers/test_state_writer_sequences.py
@@ -10,15 +10,15 @@
 from spindleglade.controller.test_recovery import make_loader
 from spindleglade.http.client import ClientResponse
 from spindleglade.http.errors import NoResponseError
-from spindleglade.leadership.term import LEADER, Term
+from spindleglade.leadership.term import LEADER_KEY, Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import StateLimits
 from spindleglade.store.client import StateClient
 from spindleglade.store.messages import Entry, encode_value
 from spindleglade.submissions.records import (
-    JOBS,
-    OVERFLOW_RANGES,
-    TASK_RANGES,
+    JOB_KEY_PREFIX,
+    OVERFLOW_RANGE_KEY_PREFIX,
+    TASK_RANGE_KEY_PREFIX,
     JobRecord,
     TaskRangeRecord,
     job_key,
@@ -78,7 +78,7 @@
     RANGE_SIZE = 2
     LIMITS = StateLimits(1e4, 1e4, 16.0, 12)
     # How many tasks are placed at a time, and end at a time, while `teardown` completes all jobs.
-    AT_ONCE = 9
+    MAX_TASKS_AT_ONCE = 9
 
     def __init__(self):
         super().__init__()
@@ -89,8 +89,8 @@
         self.incarnations = dict.fromkeys(self.machines, 1)
         self.sequences = dict.fromkeys(self.machines, 0)
         self.tokens = dict.fromkeys(self.machines, 0)
-        # `started` holds the machine on which each attempt was started, by task name and attempt number.
-        self.done, self.started, self.final_states = set(), {}, {}
+        # `machine_of_start` holds the machine on which each attempt was started, by task and attempt number.
+        self.done, self.machine_of_start, self.final_states = set(), {}, {}
         self.token, self.writer = 0, None
         for job, tasks in self.SIZES.items():
             self.write(job_key(job), JobRecord("open", spec(job, tasks), self.RANGE_SIZE))
@@ -112,7 +112,7 @@
         if self.writer is not None:
             self.writer.stop()
         self.token += 1
-        self.write(LEADER, {})
+        self.write(LEADER_KEY, {})
         term = Term(self.token, self.service.revision, 1)
         client = StateClient(UnreliableConnection(self), "", self.clock, self.LIMITS, 1, seconds(1))
         self.cluster = make_cluster()
@@ -144,7 +144,7 @@
     @rule(limit=st.integers(1, 4))
     def deliver_changes(self, limit):
         """Delivers the next changes through the replica, which may be behind what the leader has read."""
-        changes = [change for change in self.service.log if change.get("set", "").startswith(JOBS)]
+        changes = [change for change in self.service.log if change.get("set", "").startswith(JOB_KEY_PREFIX)]
         for change in changes[self.observed_changes : self.observed_changes + limit]:
             record = msgspec.convert(change["v"], JobRecord)
             self.cluster.observe_job(record, change["mark"], self.clock.now())
@@ -152,7 +152,7 @@
         self.writer.wake()
 
     @rule(machine=ANY_MACHINE)
-    def report(self, machine):
+    def send_heartbeat(self, machine):
         self.sequences[machine] += 1
         tasks = [TaskStatus(*key, *status) for key, status in self.machines[machine].items()]
         heartbeat = Heartbeat(
@@ -164,7 +164,9 @@
         for command in commands:
             key, attempts = (command.task, command.attempt), self.machines[machine]
             if command.operation == "start" and key not in attempts:
-                assert self.started.setdefault(key, machine) == machine, "an attempt started on two machines"
+                assert self.machine_of_start.setdefault(key, machine) == machine, (
+                    "an attempt started on two machines"
+                )
                 attempts[key] = ("exited", "done") if command.task in self.done else ("running",)
             elif command.operation == "stop" and attempts.get(key) == ("running",):
                 attempts[key] = ("exited", "halted")
@@ -176,24 +178,24 @@
     @rule(job=ANY_JOB, indices=INDICES, to=ANY_MACHINE, outcomes=OUTCOMES)
     def place(self, job, indices, to, outcomes):
         # The machine may learn the new token only from the response to the first heartbeat.
-        self.report(to)
-        self.report(to)
+        self.send_heartbeat(to)
+        self.send_heartbeat(to)
         self.outcomes = outcomes
         if job in self.cluster.jobs:
             starts = [Placement(job, index, to) for index in sorted(indices) if index < self.SIZES[job]]
             self.cluster.apply_plan(Plan(placements=starts), self.clock.now())
             self.wait(0.01)
-            self.report(to)
+            self.send_heartbeat(to)
 
     @rule(machine=ANY_MACHINE, outcomes=OUTCOMES, max_tasks=st.integers(1, 3))
-    def tasks_end(self, machine, outcomes, max_tasks):
+    def end_tasks(self, machine, outcomes, max_tasks):
         running = [key for key, status in self.machines[machine].items() if status == ("running",)]
         for key in running[:max_tasks]:
             self.machines[machine][key] = ("exited", "done")
             self.done.add(key[0])
         if running:
             self.outcomes = outcomes
-            self.report(machine)
+            self.send_heartbeat(machine)
 
     @rule(machine=ANY_MACHINE)
     def expire_lease(self, machine):
@@ -242,7 +244,7 @@
                 self.apply_delayed_request(0)
             self.deliver_changes(9)
             for machine in self.machines:
-                self.report(machine)
+                self.send_heartbeat(machine)
             self.wait(2.0)
 
     def teardown(self):
@@ -269,17 +271,17 @@
                     assert task_range == job.encode_range(first)
         for _ in range(3):
             for job in list(self.cluster.jobs.values()):
-                self.place(job.id, job.waiting_tasks(self.AT_ONCE), "n-1", [])
+                self.place(job.id, job.waiting_tasks(self.MAX_TASKS_AT_ONCE), "n-1", [])
             self.settle()
             for machine in self.machines:
-                self.tasks_end(machine, [], self.AT_ONCE)
+                self.end_tasks(machine, [], self.MAX_TASKS_AT_ONCE)
             self.settle()
             self.final_records_stay_and_are_true()
         # A record of a finished job may have come late; the next leader removes what is left of the job.
         self.start_leader()
         self.settle()
         assert self.final_states.keys() == self.SIZES.keys() and not self.cluster.jobs
-        assert not self.stored(TASK_RANGES) and not self.stored(OVERFLOW_RANGES)
+        assert not self.stored(TASK_RANGE_KEY_PREFIX) and not self.stored(OVERFLOW_RANGE_KEY_PREFIX)
         assert not any(self.machines.values())
 
 
--- a/spindleglade/workers/test_task_range_splitting.py
+++ b/spindleglade/workers/test_task_range_splitting.py
@@ -9,7 +9,7 @@
 from spindleglade.backfill.plan import Placement, Plan
 from spindleglade.controller.test_recovery import make_loader
 from spindleglade.http.client import ClientResponse
-from spindleglade.leadership.term import LEADER, Term
+from spindleglade.leadership.term import LEADER_KEY, Term
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings.platform import NextStateLimits, StateLimits
 from spindleglade.store.client import StateClient
@@ -43,7 +43,7 @@
     SIZES = {"job-1": 100, "job-2": 40}
     RANGE_SIZE = 64
     LIMITS = StateLimits(1e4, 1e4, 16.0, 12, LOWER_LIMITS)
-    AT_ONCE = 100
+    MAX_TASKS_AT_ONCE = 100
 
     def __init__(self):
         self.views, self.followed_revision, self.forgotten_tasks = JobViews(), 0, set()
@@ -61,13 +61,13 @@
         super().place(job, indices, to, outcomes)
 
     @rule(machine=ANY_MACHINE, outcomes=OUTCOMES, max_tasks=st.integers(1, 70))
-    def tasks_end(self, machine, outcomes, max_tasks):
-        super().tasks_end(machine, outcomes, max_tasks)
+    def end_tasks(self, machine, outcomes, max_tasks):
+        super().end_tasks(machine, outcomes, max_tasks)
 
     @rule(machine=ANY_MACHINE)
-    def report(self, machine):
+    def send_heartbeat(self, machine):
         before = dict(self.machines[machine])
-        super().report(machine)
+        super().send_heartbeat(machine)
         for key, status in before.items():
             if status == ("exited", "done") and key not in self.machines[machine]:
                 self.forgotten_tasks.add(key[0])
@@ -102,10 +102,10 @@
             for views in (self.views, late_views):
                 if job.is_open:
                     view = views.jobs[job.id]
-                    assert (view.done_count, view.running) == (job.done, len(job.placed))
+                    assert (view.done_count, view.running) == (job.done_count, len(job.placed))
             if not job.is_open:
                 continue
-            for task, attempt in self.started:
+            for task, attempt in self.machine_of_start:
                 name, index = split_task(task)
                 if name == job.id:
                     assert job.task_states[index] == DONE or job.attempts.get(index, 0) >= attempt, task
@@ -151,7 +151,7 @@
         cluster.observe_job(JobRecord("open", spec(job, 1), 8), service.revision)
         cluster.on_heartbeat(Heartbeat(machine, "x:1", "m", "z", True, 1, 1, TOKEN, []), clock.now(), True)
         cluster.apply_plan(Plan(placements=[Placement(job, 0, machine)]), clock.now())
-    service._write([{"set": LEADER, "v": {}}])
+    service._write([{"set": LEADER_KEY, "v": {}}])
     client = StateClient(ImmediateRequester(service), "", clock, limits, 1, seconds(1))
     term = Term(TOKEN, service.revision, 1)
     writer = StateWriter(cluster, client, clock, term, {}, StateWriterEvents(lambda: None, str))
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -146,7 +146,7 @@
     failing_leader = deployment.leading_controller().leader
 
     def fails_in_failing_leader(self, *args, **kwargs):
-        autoscaler = failing_leader.running.autoscaler
+        autoscaler = failing_leader.components.autoscaler
         if self in (failing_leader.cluster, autoscaler._scale_out, autoscaler._machine_list):
             raise InjectedError
         return method(self, *args, **kwargs)
