--- a/tests/generated_faults.py
+++ b/tests/generated_faults.py
@@ -81,7 +81,7 @@
 
 def _set_rate(rate: str, value: float | timedelta | bool) -> Injector:
     """An injector that sets a fault rate while the fault lasts."""
-    return lambda fault: fault.deployment.faults.during(fault.duration, rate, value)
+    return lambda fault: fault.deployment.faults.set_rate_during(fault.duration, rate, value)
 
 
 def _refuse_leader_then_outage(fault: InjectedFault) -> None:
@@ -92,7 +92,7 @@
 
 
 def _slow_store(fault: InjectedFault) -> None:
-    fault.deployment.faults.during(fault.duration, "slow_store", seconds(0.2 + fault.selector / 50))
+    fault.deployment.faults.set_rate_during(fault.duration, "slow_store", seconds(0.2 + fault.selector / 50))
 
 
 def _kill_all(fault: InjectedFault) -> None:
@@ -117,8 +117,8 @@
 
 
 def _poll_everywhere(fault: InjectedFault) -> None:
-    fault.deployment.faults.during(fault.duration, "cancel_at_once", AFFECTED_FRACTION)
-    fault.deployment.faults.during(fault.duration, "poll_everywhere", True)
+    fault.deployment.faults.set_rate_during(fault.duration, "cancel_at_once", AFFECTED_FRACTION)
+    fault.deployment.faults.set_rate_during(fault.duration, "poll_everywhere", True)
 
 
 def _cloud_unavailable(fault: InjectedFault) -> None:
@@ -133,8 +133,12 @@
 
 INJECTORS: dict[str, Injector] = {
     "outage": lambda fault: fault.deployment.faults.outage(fault.duration),
-    "refuse_leader": lambda fault: fault.deployment.faults.refuse(fault.leader_index, fault.duration),
-    "refuse_any": lambda fault: fault.deployment.faults.refuse(fault.controller_index, fault.duration),
+    "refuse_leader": lambda fault: fault.deployment.faults.refuse_by_store(
+        fault.leader_index, fault.duration
+    ),
+    "refuse_any": lambda fault: fault.deployment.faults.refuse_by_store(
+        fault.controller_index, fault.duration
+    ),
     "refuse_leader_then_outage": _refuse_leader_then_outage,
     "slow_store": _slow_store,
     "late_writes": _set_rate("late_writes", AFFECTED_FRACTION),
@@ -179,7 +183,9 @@
         lambda fault, machine: fault.deployment.faults.kill_machine(machine.partition(":")[0])
     ),
     "spot_notice": _on_machine(
-        lambda fault, machine: fault.deployment.faults.give_notice(machine.partition(":")[0], fault.duration)
+        lambda fault, machine: fault.deployment.faults.terminate_with_notice(
+            machine.partition(":")[0], fault.duration
+        )
     ),
     "cloud_unavailable": _cloud_unavailable,
     "fast_boots": _fast_boots,
--- a/tests/invariants/answer_invariants.py
+++ b/tests/invariants/answer_invariants.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from spindleglade.runtime.clock import ManualClock, seconds
-from tests.invariants.dependency_invariants import OVER, DependencyInvariants
+from tests.invariants.dependency_invariants import FINAL_STATES, DependencyInvariants
 from tests.simulation.fault_window import FaultWindow
 from tests.simulation.job_records import JobRecords
 
@@ -42,14 +42,14 @@
     def check_state(self, job_id: str, state: str, before: str | None) -> None:
         """Checks the state in an answer; `before` is the state a user had been told when asking."""
         self._dependencies.observe_state(job_id, state)
-        if before in OVER and state != before:
+        if before in FINAL_STATES and state != before:
             self.add_violation(f"went_back {job_id} from {before} to {state}")
         known = self._jobs.observed_states.get(job_id)
         if {state, known} == {"done", "aborted"}:
             # Both states are final, so no two answers may differ in them, whichever came first and from any
             # controller.
             self.add_violation(f"went_back {job_id} is reported as {known} and as {state}")
-        if state == "aborted" and not self._dependencies.cancelled(job_id):
+        if state == "aborted" and not self._dependencies.is_cancel_requested(job_id):
             self.add_violation(f"went_back {job_id} aborted though no user cancelled it or an ancestor")
         if state == "done" and not self._is_complete(job_id):
             self.add_violation(f"not_done {job_id}")
--- a/tests/invariants/dependency_invariants.py
+++ b/tests/invariants/dependency_invariants.py
@@ -9,7 +9,7 @@
 from tests.simulation.executions import TaskExecutions
 from tests.simulation.job_records import JobRecords
 
-OVER = ("done", "aborted")
+FINAL_STATES = ("done", "aborted")
 # The maximum number of jobs that one message lists.
 MAX_LISTED_JOBS = 5
 
@@ -55,11 +55,11 @@
             self._ancestors[job] = frozenset(found)
         return self._ancestors[job]
 
-    def released(self, job: str) -> bool:
+    def is_released(self, job: str) -> bool:
         """Whether all tasks of all ancestors of the job have completed, as observed at the workers."""
         return all(map(self._executions.is_complete, self.ancestors(job)))
 
-    def cancelled(self, job: str) -> bool:
+    def is_cancel_requested(self, job: str) -> bool:
         """Whether a user has asked to cancel the job or one of its ancestors."""
         requested = self._jobs.cancel_requested
         return job in requested or not requested.isdisjoint(self.ancestors(job))
@@ -93,7 +93,7 @@
         if state == "done" and aborted:
             self._add_violation(f"contradiction {job} is reported as done though {aborted} are aborted")
         since = min((self.observed_cancelled_at[ancestor] for ancestor in aborted), default=now)
-        if state not in OVER and now - since > CANCEL:
+        if state not in FINAL_STATES and now - since > CANCEL:
             self._add_violation(
                 f"orphaned {job} is reported as {state} though one of {aborted} is aborted since {since}"
             )
--- a/tests/invariants/liveness_invariants.py
+++ b/tests/invariants/liveness_invariants.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from spindleglade.runtime.clock import seconds
-from tests.invariants.dependency_invariants import OVER
+from tests.invariants.dependency_invariants import FINAL_STATES
 
 if TYPE_CHECKING:
     from spindleglade.controller.controller import Controller
@@ -61,7 +61,7 @@
             or bool(
                 deployment.network.cuts or deployment.network.refused_by_store or deployment.network.silent
             )
-            or bool(deployment.network.unreachable or deployment.network.cannot_report)
+            or bool(deployment.network.unreachable or deployment.network.cannot_send_heartbeats)
         )
 
     def _check_leader(self, now: timedelta) -> None:
@@ -82,9 +82,11 @@
 
     def _could_start(self, job_id: str) -> bool:
         deployment = self._deployment
-        if deployment.jobs.observed_states.get(job_id) in OVER or deployment.dependencies.cancelled(job_id):
+        if deployment.jobs.observed_states.get(
+            job_id
+        ) in FINAL_STATES or deployment.dependencies.is_cancel_requested(job_id):
             return False
-        if deployment.executions.is_complete(job_id) or not deployment.dependencies.released(job_id):
+        if deployment.executions.is_complete(job_id) or not deployment.dependencies.is_released(job_id):
             return False
         job = deployment.jobs.descriptions[job_id]
         return deployment.service.has_capacity_for(job) or deployment.cloud.has_capacity
--- a/tests/invariants/service_invariants.py
+++ b/tests/invariants/service_invariants.py
@@ -8,7 +8,7 @@
 from spindleglade.runtime.clock import seconds
 from tests.deployment_config import size
 from tests.fakes.cloud import Machine
-from tests.invariants.dependency_invariants import OVER
+from tests.invariants.dependency_invariants import FINAL_STATES
 
 if TYPE_CHECKING:
     from tests.simulated_deployment import SimulatedDeployment
@@ -26,7 +26,8 @@
 
 
 class ServiceInvariants:
-    """Records jobs that wait in spite of free capacity as violations, and checks a whole day at its end."""
+    """Records jobs that wait in spite of free capacity as violations, and checks the objectives of a whole
+    run at its end."""
 
     def __init__(self, deployment: "SimulatedDeployment") -> None:
         self._deployment = deployment
@@ -39,7 +40,7 @@
         """Returns the share of done jobs among those nobody cancelled, by class, team or any other `key`."""
         outcomes: dict = {}
         for job_id, job in self._deployment.jobs.descriptions.items():
-            if not self._deployment.dependencies.cancelled(job_id):
+            if not self._deployment.dependencies.is_cancel_requested(job_id):
                 outcomes.setdefault(key(job), []).append(
                     self._deployment.jobs.observed_states.get(job_id) == "done"
                 )
@@ -56,8 +57,8 @@
             if size(job) >= max_sizes[job["bobbin"]]
         }
 
-    def check_day(self) -> None:
-        """Checks a whole day at its end.
+    def check_objectives(self) -> None:
+        """Checks the objectives of a whole run at its end.
 
         Every job must be accepted, `MIN_SERVED_SHARE` of the jobs of each class, of each team and of the
         largest jobs of each class must be done, and the largest jobs must start within `MAX_START_DELAY`.
@@ -74,10 +75,12 @@
             shares = self.done_shares(key)
             assert min(shares.values(), default=1.0) >= MIN_SERVED_SHARE, shares
         waits = {
-            job: self._deployment.executions.began_at.get(job, self._deployment.clock.now() + MAX_START_DELAY)
+            job: self._deployment.executions.first_start_at.get(
+                job, self._deployment.clock.now() + MAX_START_DELAY
+            )
             - self._deployment.jobs.submitted_at[job]
             for job in largest
-            if not self._deployment.dependencies.cancelled(job)
+            if not self._deployment.dependencies.is_cancel_requested(job)
         }
         late = {job: wait for job, wait in waits.items() if wait >= MAX_START_DELAY}
         assert not late, late
@@ -126,7 +129,7 @@
         """Whether a task of the job could start on a machine that runs now."""
         return self._fits(job, *self._resource_usage())
 
-    def work(self, team: str) -> timedelta:
+    def max_work_time(self, team: str) -> timedelta:
         """Returns how long a team's jobs take at its CPU limit if each runs for its maximum time."""
         cpu_s = sum(
             size(job) * MAX_RUN_TIME_FACTOR * job["run_s"]
@@ -146,9 +149,9 @@
             job = self._deployment.jobs.descriptions[job_id]
             tasks = [f"{job_id}/{index}" for index in range(job["threads"])]
             if (
-                self._deployment.dependencies.cancelled(job_id)
-                or not self._deployment.dependencies.released(job_id)
-                or self._deployment.jobs.observed_states.get(job_id) in OVER
+                self._deployment.dependencies.is_cancel_requested(job_id)
+                or not self._deployment.dependencies.is_released(job_id)
+                or self._deployment.jobs.observed_states.get(job_id) in FINAL_STATES
                 or all(
                     task in self._deployment.executions.completed
                     or self._deployment.executions.running_on.get(task)
--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -129,9 +129,9 @@
             flush=True,
         )
     delays_s = [
-        (deployment.executions.began_at[job] - deployment.jobs.submitted_at[job]).total_seconds()
+        (deployment.executions.first_start_at[job] - deployment.jobs.submitted_at[job]).total_seconds()
         for job in jobs
-        if job in deployment.executions.began_at
+        if job in deployment.executions.first_start_at
     ]
     print(f"machines: {most_machines} at most, {deployment.cloud.provisioned_count} provisioned in total")
     print(f"jobs: {len(jobs)}, accepted {len(deployment.jobs.accepted)}, started {len(delays_s)}")
@@ -148,7 +148,7 @@
         f"{deployment.state.rejected_for_rate} requests rejected by the rate limits"
     )
     print(
-        f"connections of one controller: {deployment.connections.most_open} at most, "
+        f"connections of one controller: {deployment.connections.max_open} at most, "
         f"limit {deployment.config.sockets}"
     )
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
--- a/tests/pipelines.py
+++ b/tests/pipelines.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from spindleglade.runtime.clock import seconds
-from tests.invariants.dependency_invariants import OVER
+from tests.invariants.dependency_invariants import FINAL_STATES
 from tests.simulated_deployment import SimulatedDeployment
 
 # The time after the last fault within which all jobs must be over.
@@ -104,7 +104,7 @@
     def _is_ready(self, node: PipelineNode) -> bool:
         dependencies = [self.job(index) for index in node.dependencies]
         if node.late:
-            return all(self.deployment.jobs.observed_states.get(job) in OVER for job in dependencies)
+            return all(self.deployment.jobs.observed_states.get(job) in FINAL_STATES for job in dependencies)
         return all(job in self.deployment.jobs.accepted for job in dependencies)
 
     def _submit(self, index: int, node: PipelineNode) -> None:
@@ -178,7 +178,7 @@
         open_jobs = {
             job: deployment.jobs.observed_states.get(job)
             for job in deployment.jobs.descriptions
-            if deployment.jobs.observed_states.get(job) not in OVER
+            if deployment.jobs.observed_states.get(job) not in FINAL_STATES
         }
         assert not open_jobs, open_jobs
         for job in deployment.jobs.descriptions:
@@ -188,11 +188,12 @@
                 deployment.jobs.observed_states[job],
                 aborted,
             )
-            assert deployment.jobs.observed_states[job] == "done" or deployment.dependencies.cancelled(job), (
+            assert deployment.jobs.observed_states[
                 job
-            )
+            ] == "done" or deployment.dependencies.is_cancel_requested(job), job
 
     def _settled(self) -> bool:
         return all(pipeline.complete for pipeline in self.pipelines) and all(
-            self.deployment.jobs.observed_states.get(job) in OVER for job in self.deployment.jobs.descriptions
+            self.deployment.jobs.observed_states.get(job) in FINAL_STATES
+            for job in self.deployment.jobs.descriptions
         )
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -33,7 +33,7 @@
             self.messages.append(record.getMessage())
 
 
-class LifeClock:
+class ProcessClock:
     """The clock of one process. Timers do not run once the process is killed, and wait while it is frozen."""
 
     def __init__(self, clock: ManualClock) -> None:
@@ -41,7 +41,7 @@
         self._started_at = clock.now()
         self.alive = True
         # The time of the deployment until which the process is frozen.
-        self.frozen = timedelta(0)
+        self.frozen_until = timedelta(0)
 
     def now(self) -> timedelta:
         return self._clock.now() - self._started_at
@@ -53,7 +53,7 @@
         def run_call() -> None:
             if not self.alive:
                 return
-            remaining = self.frozen - self._clock.now()
+            remaining = self.frozen_until - self._clock.now()
             if remaining > timedelta(0):
                 self._clock.later(remaining, run_call)
             else:
@@ -62,7 +62,7 @@
         return self._clock.later(delay, run_call)
 
 
-class SimHttp:
+class SimulatedHttpClient:
     """The HTTP client of one process. Responses and errors are of the types of the process's version."""
 
     def __init__(
@@ -70,14 +70,14 @@
         network: "SimulatedNetwork",
         connections: "OpenConnections",
         name: str,
-        clock: LifeClock,
+        clock: ProcessClock,
         version: Version,
     ) -> None:
         self._network, self._connections = network, connections
         self._name, self._clock = name, clock
-        self._no_response = version.named("http.errors", "NoResponseError")
-        self._not_sent = version.named("http.errors", "NotSentError")
-        self._response = version.named("http.client", "ClientResponse")
+        self._no_response = version.member("http.errors", "NoResponseError")
+        self._not_sent = version.member("http.errors", "NotSentError")
+        self._response = version.member("http.client", "ClientResponse")
 
     async def request(
         self,
--- a/tests/record_production.py
+++ b/tests/record_production.py
@@ -83,7 +83,7 @@
     assert leader is not None
     follower = (leader + 1) % 3
     # While the store refuses a controller, it forwards users' requests.
-    deployment.faults.refuse(follower, seconds(4))
+    deployment.faults.refuse_by_store(follower, seconds(4))
     # Such a controller learns of cancellations from its peers.
     deployment.clock.later(
         seconds(1), deployment.users.cancel, "job-000003", 40, deployment.controller_names[leader]
--- a/tests/simulation/connections.py
+++ b/tests/simulation/connections.py
@@ -14,7 +14,7 @@
         self.budgets: dict[str, ConnectionBudget] = {}
         # The budget of the controller that each worker is connected to, by the worker's address.
         self._worker_budgets: dict[str, ConnectionBudget] = {}
-        self.most_open = 0
+        self.max_open = 0
 
     def on_opened(self, controller: str) -> None:
         """Counts one more open connection of the controller."""
@@ -32,4 +32,4 @@
 
     def _count_opened(self, budget: Any) -> None:
         budget.on_opened()
-        self.most_open = max(self.most_open, budget.open_connections)
+        self.max_open = max(self.max_open, budget.open_connections)
--- a/tests/simulation/controller_processes.py
+++ b/tests/simulation/controller_processes.py
@@ -12,7 +12,7 @@
 from spindleglade.runtime.clock import ManualClock, seconds
 from spindleglade.settings import OperatorSettings
 from tests.deployment_config import DeploymentConfig, platform_settings
-from tests.processes import LifeClock, SimHttp
+from tests.processes import ProcessClock, SimulatedHttpClient
 from tests.production_names import viewed
 from tests.simulation.connections import OpenConnections
 from tests.simulation.endpoints import Endpoints
@@ -41,23 +41,23 @@
         self._endpoints, self._network, self._connections = endpoints, network, connections
         self._connect_peers = connect_peers
         # The clock of each controller's latest process.
-        self.clocks: dict[str, LifeClock] = {}
+        self.clocks: dict[str, ProcessClock] = {}
 
     def start(self, index: int) -> None:
         """Starts a process of the version that is set for this controller, the current one by default."""
         name = self._endpoints.controller_names[index]
-        process_clock = self.clocks[name] = LifeClock(self._clock)
+        process_clock = self.clocks[name] = ProcessClock(self._clock)
         version = self._endpoints.versions.get(name, CURRENT)
         platform = version.platform(platform_settings(index, self._config))
-        connection_budget = version.named("http.connection_budget", "ConnectionBudget")(self._config.sockets)
+        connection_budget = version.member("http.connection_budget", "ConnectionBudget")(self._config.sockets)
         self._connections.budgets[name] = viewed(connection_budget)
-        http = SimHttp(self._network, self._connections, name, process_clock, version)
-        process = version.named("controller.controller", "Controller")(
+        http = SimulatedHttpClient(self._network, self._connections, name, process_clock, version)
+        process = version.member("controller.controller", "Controller")(
             platform,
             self._operator_settings(version),
             process_clock,
             http,
-            version.named("http.concurrency", "ConcurrencyLimiter")(http, process_clock, connection_budget),
+            version.member("http.concurrency", "ConcurrencyLimiter")(http, process_clock, connection_budget),
             self._peer_network_factory(name, version, platform, process_clock),
             _delayed_compute(process_clock),
         )
@@ -89,13 +89,13 @@
         return version.module("settings").OperatorSettings() if version.is_production else self._settings
 
     def _peer_network_factory(
-        self, name: str, version: Version, platform: Any, process_clock: LifeClock
+        self, name: str, version: Version, platform: Any, process_clock: ProcessClock
     ) -> Callable[..., PeerNetwork]:
         def create_peer_network(*handlers: Any) -> PeerNetwork:
             # Replaces the handler of a peer's ended process: a new leader has to wait until the lease
             # expires, which is the harder case.
             handlers = (*handlers[:-1], lambda peer: None)
-            network = version.named("leadership.peer_network", "PeerNetwork")(
+            network = version.member("leadership.peer_network", "PeerNetwork")(
                 None,
                 process_clock,
                 platform.siblings if version.is_production else platform.peers,
@@ -108,7 +108,7 @@
         return create_peer_network
 
 
-def _delayed_compute(process_clock: LifeClock) -> Callable[..., Any]:
+def _delayed_compute(process_clock: ProcessClock) -> Callable[..., Any]:
     async def compute(work: Callable[..., Any], *args: Any) -> Any:
         waiter: Deferred[None] = Deferred()
         process_clock.later(COMPUTE_TIME, waiter.callback, None)
--- a/tests/simulation/executions.py
+++ b/tests/simulation/executions.py
@@ -26,7 +26,7 @@
         # The CPUs that each team's running tasks use.
         self.cpus_in_use: dict[str, float] = {}
         # When the first and the latest task of each job started.
-        self.began_at: dict[str, timedelta] = {}
+        self.first_start_at: dict[str, timedelta] = {}
         self.latest_start_at: dict[str, timedelta] = {}
         self.started = 0
         self.start_counts: Counter[str] = Counter()
@@ -48,7 +48,7 @@
         team = job["crew"]
         self.cpus_in_use[team] = self.cpus_in_use.get(team, 0.0) + job["vcpus"]
         self._placement.check_start(machine, task, self.running_on, self.cpus_in_use[team])
-        self.began_at.setdefault(job_id, now)
+        self.first_start_at.setdefault(job_id, now)
         self.latest_start_at[job_id] = now
 
     def on_task_ended(self, machine: str, task: str) -> None:
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -8,7 +8,7 @@
 
 from spindleglade.runtime.clock import ManualClock, seconds
 from tests.invariants.placement_invariants import PlacementInvariants
-from tests.processes import LifeClock
+from tests.processes import ProcessClock
 from tests.simulation.controller_processes import ControllerProcesses
 from tests.simulation.endpoints import STATE, Endpoints
 from tests.simulation.executions import TaskExecutions
@@ -52,7 +52,7 @@
         self._jobs, self._executions, self._placement = jobs, executions, placement
         self._cancel = cancel
 
-    def during(self, length: timedelta, rate: str, value: Any) -> None:
+    def set_rate_during(self, length: timedelta, rate: str, value: Any) -> None:
         """Sets one field of the fault rates for the given time, and then resets it to zero or False."""
         self._window.extend(length)
         zero = type(getattr(self._rates, rate))()
@@ -66,7 +66,7 @@
         self._window.extend(length)
         self._endpoints.state.outage(length)
 
-    def refuse(self, index: int, length: timedelta) -> None:
+    def refuse_by_store(self, index: int, length: timedelta) -> None:
         """Makes the store answer this controller, and no other, with 503."""
         name = self._endpoints.controller_names[index]
         self._window.extend(length)
@@ -77,7 +77,7 @@
         """Makes the store refuse the leader only, and a second later makes it unavailable to all."""
         leader = self._endpoints.leader()
         if leader is not None:
-            self.refuse(leader, refusal_length)
+            self.refuse_by_store(leader, refusal_length)
         self._clock.later(OUTAGE_AFTER_REFUSAL, self.outage, length)
 
     # Controllers.
@@ -111,8 +111,8 @@
         """Pauses the process; messages to and from it are queued until it resumes."""
         name = self._endpoints.controller_names[index]
         if name in self._endpoints.controllers:
-            process_clock: LifeClock = self._processes.clocks[name]
-            process_clock.frozen = self._clock.now() + length
+            process_clock: ProcessClock = self._processes.clocks[name]
+            process_clock.frozen_until = self._clock.now() + length
             self._network.cut_off(name, True, length)
 
     def silence(self, index: int, length: timedelta) -> None:
@@ -138,8 +138,8 @@
     def stop_heartbeats(self, machine: str, length: timedelta) -> None:
         """Drops the machine's heartbeats, while direct commands reach it."""
         self._window.extend(length)
-        self._network.cannot_report.add(machine)
-        self._clock.later(length, self._network.cannot_report.discard, machine)
+        self._network.cannot_send_heartbeats.add(machine)
+        self._clock.later(length, self._network.cannot_send_heartbeats.discard, machine)
 
     def hang(self, machine: str, length: timedelta) -> None:
         """Makes the machine, given by name or address, hang for the given time and then resume."""
@@ -150,7 +150,7 @@
             worker.hang(length)
             self._clock.later(length, self._placement.check_after_hang, worker)
 
-    def give_notice(self, name: str, length: timedelta) -> None:
+    def terminate_with_notice(self, name: str, length: timedelta) -> None:
         """Gives notice that the cloud terminates the machine after the given time, and terminates it then."""
         self._window.extend(length)
         worker = self._endpoints.workers[name]
--- a/tests/simulation/invalid_requests.py
+++ b/tests/simulation/invalid_requests.py
@@ -7,7 +7,7 @@
 from spindleglade.runtime.clock import ManualClock, seconds
 from tests.deployment_config import DeploymentConfig, description
 from tests.fakes.encoding import encode
-from tests.invariants.dependency_invariants import OVER
+from tests.invariants.dependency_invariants import FINAL_STATES
 from tests.simulation.fault_window import FaultWindow
 from tests.simulation.job_records import JobRecords
 from tests.simulation.users import BAD_REQUEST, UNPROCESSABLE, SimulatedUsers
@@ -49,7 +49,7 @@
 
     def _send_one(self) -> None:
         accepted, states = sorted(self._jobs.accepted), self._jobs.observed_states
-        open_jobs = [job for job in accepted if states.get(job) not in OVER]
+        open_jobs = [job for job in accepted if states.get(job) not in FINAL_STATES]
         done = [job for job in accepted if states.get(job) == "done"]
         kind = self._rng.choice(["repeat", "cancel", "invalid", "invalid"])
         if kind == "repeat" and open_jobs:
@@ -67,9 +67,9 @@
         expected = BAD_REQUEST if fault in ("missing field", "not JSON") else UNPROCESSABLE
 
         def on_answer(status: int, body: bytes) -> None:
-            self._counts[f"odd {status}"] += 1
+            self._counts[f"invalid submission {status}"] += 1
             if status != expected:
-                self._violations.append(f"odd {job_id} ({fault}): {status}")
+                self._violations.append(f"invalid submission {job_id} ({fault}) was answered with {status}")
 
         self._users.request("POST", "/submissions", body, on_answer)
         self._clock.later(POLL_DELAY, self._users.poll, job_id)
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -61,7 +61,7 @@
         # Machines whose heartbeats arrive, while all answers and commands to them are dropped.
         self.unreachable: set[str] = set()
         # Machines whose heartbeats are dropped, while direct commands reach them.
-        self.cannot_report: set[str] = set()
+        self.cannot_send_heartbeats: set[str] = set()
         # Copies of heartbeats that are delivered when a new leader is elected: sender, method, path and body.
         self._kept_heartbeats: list[tuple[str, str, str, bytes]] = []
 
@@ -124,7 +124,7 @@
             elif answer is not None:
                 self._send_back(answer, source, target, on_reply)
 
-        if path == HEARTBEAT_PATH and source in self.cannot_report:
+        if path == HEARTBEAT_PATH and source in self.cannot_send_heartbeats:
             return
         self._deliver(source, target, arrive)
         self._schedule_copies(source, target, method, path, body)
@@ -190,7 +190,7 @@
             self._clock.later(seconds(self._rng.uniform(0.001, 0.01)), self._carry_out, body)
         else:
             return False
-        self._counts["astray"] += 1
+        self._counts["unanswered transactions"] += 1
         return True
 
     def _carry_out(self, body: bytes) -> None:
@@ -200,7 +200,9 @@
             # The store is unavailable or over its rate limit, so the transaction is repeated later.
             self._clock.later(RETRY_DELAY, self._carry_out, body)
             return
-        self._counts["astray carried out" if answer[0] == OK else "astray refused"] += 1
+        self._counts[
+            "unanswered transactions executed" if answer[0] == OK else "unanswered transactions rejected"
+        ] += 1
 
     # Repeated messages.
 
@@ -221,7 +223,7 @@
         """Delivers the kept heartbeats to every running controller; called when a new leader is elected."""
         kept, self._kept_heartbeats = self._kept_heartbeats, []
         for source, method, path, body in kept:
-            self._counts["kept delivered"] += 1
+            self._counts["kept heartbeats delivered"] += 1
             for name in list(self._endpoints.controllers):
                 self._deliver_copy(source, name, method, path, body)
 
--- a/tests/simulation/peer_connections.py
+++ b/tests/simulation/peer_connections.py
@@ -8,7 +8,7 @@
 from spindleglade.leadership.peer_messages import Message
 from spindleglade.leadership.peer_network import PeerNetwork
 from spindleglade.runtime.clock import Clock, seconds, sleep
-from tests.processes import LifeClock
+from tests.processes import ProcessClock
 from tests.versions import is_of_production
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
         """Closes this end."""
         self._deployment.network.peer_connections.pop(self, None)
 
-    def close_if_of_process(self, clock: LifeClock) -> None:
+    def close_if_of_process(self, clock: ProcessClock) -> None:
         """Closes the connection if the ended process, given by its clock, was at either end."""
         if clock in self._process_clocks:
             self.abortConnection()
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -10,7 +10,7 @@
 from tests.deployment_config import description
 from tests.fakes.encoding import Reply, decode, encode
 from tests.invariants.answer_invariants import AnswerInvariants
-from tests.invariants.dependency_invariants import OVER
+from tests.invariants.dependency_invariants import FINAL_STATES
 from tests.simulation.endpoints import USER, Endpoints
 from tests.simulation.fault_window import FaultRates
 from tests.simulation.job_records import JobRecords
@@ -176,7 +176,7 @@
 
     def poll_until_over(self, job_id: str, interval: timedelta = POLL_INTERVAL) -> None:
         """Polls the job at the given interval until it is over."""
-        if self._jobs.observed_states.get(job_id) not in OVER:
+        if self._jobs.observed_states.get(job_id) not in FINAL_STATES:
             self.poll(job_id)
             self._clock.later(interval, self.poll_until_over, job_id, interval)
 
@@ -185,19 +185,19 @@
         self._jobs.accepted.add(job_id)
         self._answers.check_state(job_id, state, before)
         known = self._jobs.observed_states.get(job_id)
-        if known in OVER:
+        if known in FINAL_STATES:
             return
         self._jobs.observed_states[job_id] = state
         accepted = self.accepted_callbacks if is_new else ()
-        over = self.over_callbacks if state in OVER else ()
+        over = self.over_callbacks if state in FINAL_STATES else ()
         for callback in (*accepted, *over):
             callback(job_id)
-        if self._rates.poll_everywhere and (known is None or state in OVER):
+        if self._rates.poll_everywhere and (known is None or state in FINAL_STATES):
             self._poll_everywhere(job_id)
 
     def _poll_everywhere(self, job_id: str) -> None:
         """Polls the job, or repeats its submission, at all controllers in rounds of a few milliseconds."""
-        self._counts["close looks"] += 1
+        self._counts["polls at all controllers"] += 1
         for round_number in range(POLL_EVERYWHERE_ROUNDS):
             for name in self._endpoints.controller_names:
                 spread_s = self._rng.uniform(0, POLL_EVERYWHERE_SPREAD_S)
@@ -206,6 +206,6 @@
                     self._clock.later(delay, self.poll, job_id, name)
                 else:
                     self._clock.later(delay, self.send_submission, job_id, 0, name)
-        is_over = self._jobs.observed_states[job_id] in OVER
+        is_over = self._jobs.observed_states[job_id] in FINAL_STATES
         if not is_over and self._rng.random() < self._rates.cancel_at_once:
             self.cancel(job_id)
--- a/tests/test_both_versions.py
+++ b/tests/test_both_versions.py
@@ -173,14 +173,14 @@
 def test_transactions_without_an_answer_between_the_versions(seed, fault):
     deployment = start_deployment(920 + seed)
     stream(deployment, 40, 0.5)
-    deployment.faults.during(seconds(22), fault, 0.25)
+    deployment.faults.set_rate_during(seconds(22), fault, 0.25)
     for number in range(3):
         deployment.clock.later(seconds(3 + 5 * number), upgrade, deployment, (seed + number) % 3)
         deployment.clock.later(
             seconds(6 + 5 * number), lambda: deployment.faults.restart(deployment.leader() or 0, seconds(0.4))
         )
     deployment.run(seconds(26))
-    assert deployment.counts["astray"] > 5
+    assert deployment.counts["unanswered transactions"] > 5
     complete_run(deployment)
 
 
--- a/tests/test_cancellations_in_store_outages.py
+++ b/tests/test_cancellations_in_store_outages.py
@@ -18,7 +18,7 @@
     deployment = SimulatedDeployment(seed)
     deployment.run(seconds(3))
     jobs = [deployment.users.submit(number, threads=2, run_s=200.0) for number in range(3)]
-    while len(deployment.executions.began_at) < 3:
+    while len(deployment.executions.first_start_at) < 3:
         deployment.run(seconds(0.5))
     deployment.run(seconds(3))
     return deployment, jobs, deployment.controller_names[deployment.leader()]
--- a/tests/test_combined_faults_of_leadership.py
+++ b/tests/test_combined_faults_of_leadership.py
@@ -21,8 +21,8 @@
     deployment = SimulatedDeployment(300 + seed, error=0.1, config=DeploymentConfig(capacity=8, teams=ROOMY))
     busy(deployment, 60)
     deployment.run(seconds(2))
-    deployment.faults.during(seconds(36), "kept_heartbeats", 0.6)
-    deployment.faults.during(seconds(36), "late_heartbeats", 0.3)
+    deployment.faults.set_rate_during(seconds(36), "kept_heartbeats", 0.6)
+    deployment.faults.set_rate_during(seconds(36), "late_heartbeats", 0.3)
     for at in (6, 12, 18, 24, 30):
         deployment.clock.later(
             seconds(at),
@@ -33,7 +33,7 @@
     for at in (4, 15):
         deployment.clock.later(seconds(at), cut_off_some_worker, deployment, seconds(9))
     deployment.run(seconds(40))
-    assert deployment.counts["kept delivered"] > 100 and deployment.counts["leaders"] >= 5
+    assert deployment.counts["kept heartbeats delivered"] > 100 and deployment.counts["leaders"] >= 5
     settle(deployment)
 
 
--- a/tests/test_combined_faults_of_placement.py
+++ b/tests/test_combined_faults_of_placement.py
@@ -132,7 +132,7 @@
             if fault == "fails":
                 deployment.faults.kill_machine(name)
             elif fault == "preempted":
-                deployment.faults.give_notice(name, seconds(3))
+                deployment.faults.terminate_with_notice(name, seconds(3))
             else:
                 deployment.network.cut(
                     address(deployment, name), deployment.controller_names, True, seconds(9)
@@ -268,7 +268,7 @@
     be served."""
     deployment = SimulatedDeployment(620, config=DeploymentConfig(capacity=5, teams=ROOMY))
     deployment.run(seconds(3))
-    deployment.faults.during(seconds(300), "slow_links", seconds(0.4))
+    deployment.faults.set_rate_during(seconds(300), "slow_links", seconds(0.4))
     for number in range(4):
         fields = {"threads": 2, "vcpus": 8.0, "run_s": 6.0, "urgency": "best_effort", "bobbin": "large"}
         deployment.clock.later(
--- a/tests/test_combined_faults_of_store.py
+++ b/tests/test_combined_faults_of_store.py
@@ -27,10 +27,18 @@
     deployment = SimulatedDeployment(100 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     busy(deployment, 40)
     deployment.clock.later(
-        seconds(3), deployment.faults.during, seconds(30), fault, 0.5 if fault == "late_writes" else 0.35
+        seconds(3),
+        deployment.faults.set_rate_during,
+        seconds(30),
+        fault,
+        0.5 if fault == "late_writes" else 0.35,
+    )
+    deployment.clock.later(
+        seconds(3), deployment.faults.set_rate_during, seconds(30), "poll_everywhere", True
+    )
+    deployment.clock.later(
+        seconds(3), deployment.faults.set_rate_during, seconds(30), "cancel_at_end", at_end
     )
-    deployment.clock.later(seconds(3), deployment.faults.during, seconds(30), "poll_everywhere", True)
-    deployment.clock.later(seconds(3), deployment.faults.during, seconds(30), "cancel_at_end", at_end)
     for at in (9, 18, 27):
         deployment.clock.later(
             seconds(at),
@@ -38,8 +46,11 @@
             seconds(2),
         )
     deployment.run(seconds(35))
-    assert deployment.counts["astray"] > 5 and deployment.counts["astray carried out"] > 2
-    assert deployment.counts["close looks"] > 20
+    assert (
+        deployment.counts["unanswered transactions"] > 5
+        and deployment.counts["unanswered transactions executed"] > 2
+    )
+    assert deployment.counts["polls at all controllers"] > 20
     settle(deployment)
 
 
@@ -50,7 +61,7 @@
     deployment = SimulatedDeployment(120 + seed, config=DeploymentConfig(capacity=10, teams=ROOMY))
     deployment.cloud.boot_time_s = (0.2, 1.5)
     deployment.run(seconds(3))
-    deployment.faults.during(seconds(25), "late_writes", 0.3)
+    deployment.faults.set_rate_during(seconds(25), "late_writes", 0.3)
     for number in range(12):
         deployment.clock.later(
             seconds(number * 1.5),
@@ -92,12 +103,18 @@
     """Users cancel and poll jobs while the store is slow, refuses the leader, and is then down for all."""
     deployment = SimulatedDeployment(160 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     busy(deployment, 60, cancelled=0.4)
-    deployment.clock.later(seconds(4), deployment.faults.during, seconds(20), "slow_store", seconds(1.2))
-    deployment.clock.later(seconds(4), deployment.faults.during, seconds(60), "poll_everywhere", True)
+    deployment.clock.later(
+        seconds(4), deployment.faults.set_rate_during, seconds(20), "slow_store", seconds(1.2)
+    )
+    deployment.clock.later(
+        seconds(4), deployment.faults.set_rate_during, seconds(60), "poll_everywhere", True
+    )
     deployment.clock.later(
         seconds(12), deployment.faults.refuse_leader_then_outage, seconds(10), CANCEL + seconds(4)
     )
-    deployment.clock.later(seconds(42), deployment.faults.during, seconds(10), "slow_store", seconds(2.5))
+    deployment.clock.later(
+        seconds(42), deployment.faults.set_rate_during, seconds(10), "slow_store", seconds(2.5)
+    )
     deployment.run(seconds(60))
     settle(deployment, 90)
 
@@ -112,14 +129,16 @@
     cancelled at the moment of their end. All controllers must answer the same final state."""
     deployment = SimulatedDeployment(200 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
-    deployment.faults.during(seconds(30), "poll_everywhere", True)
-    deployment.faults.during(seconds(30), "cancel_at_once", 0.3)
-    deployment.faults.during(seconds(30), "cancel_at_end", 0.5)
+    deployment.faults.set_rate_during(seconds(30), "poll_everywhere", True)
+    deployment.faults.set_rate_during(seconds(30), "cancel_at_once", 0.3)
+    deployment.faults.set_rate_during(seconds(30), "cancel_at_end", 0.5)
     if seed % 2:
-        deployment.faults.during(seconds(30), "lost_answers", 0.2)
+        deployment.faults.set_rate_during(seconds(30), "lost_answers", 0.2)
     busy(deployment, 60, every=0.4, cancelled=0.2)
     deployment.run(seconds(30))
-    assert deployment.counts["cancelled at its end"] > 3 and deployment.counts["close looks"] > 60
+    assert (
+        deployment.counts["cancelled at its end"] > 3 and deployment.counts["polls at all controllers"] > 60
+    )
     settle(deployment)
     assert "done" in {deployment.jobs.observed_states[job] for job in deployment.jobs.cancel_requested}
     for job in sorted(deployment.jobs.cancel_requested)[:8]:
@@ -134,12 +153,14 @@
     deployment.run(seconds(3))
     busy(deployment, 40)
     deployment.invalid_requests.send_for(seconds(40))
-    deployment.clock.later(seconds(5), deployment.faults.during, seconds(10), "slow_store", seconds(0.5))
-    deployment.clock.later(seconds(10), deployment.faults.refuse, 0, seconds(6))
+    deployment.clock.later(
+        seconds(5), deployment.faults.set_rate_during, seconds(10), "slow_store", seconds(0.5)
+    )
+    deployment.clock.later(seconds(10), deployment.faults.refuse_by_store, 0, seconds(6))
     deployment.clock.later(seconds(14), deployment.faults.outage, seconds(5))
     deployment.clock.later(seconds(25), deployment.faults.restart, 1, seconds(1))
     deployment.run(seconds(45))
-    assert deployment.counts["odd 400"] > 5 and deployment.counts["odd 422"] > 5
+    assert deployment.counts["invalid submission 400"] > 5 and deployment.counts["invalid submission 422"] > 5
     settle(deployment)
     for job in deployment.jobs.invalid:
         ((status, _),) = stages_everywhere(deployment, job)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -88,7 +88,7 @@
 def test_transactions_without_an_answer_while_chunks_are_moved(seed, fault):
     deployment = start_deployment(620 + seed)
     lower_limits_after(deployment, 3.0)
-    deployment.faults.during(seconds(15), fault, 0.3)
+    deployment.faults.set_rate_during(seconds(15), fault, 0.3)
     for at in (5, 9):
         deployment.clock.later(
             seconds(at),
@@ -96,7 +96,7 @@
             seconds(1),
         )
     deployment.run(seconds(30))
-    assert deployment.counts["astray"] > 5
+    assert deployment.counts["unanswered transactions"] > 5
     settle_and_check_rejections(deployment)
 
 
--- a/tests/test_pipeline_cancellations.py
+++ b/tests/test_pipeline_cancellations.py
@@ -9,7 +9,7 @@
 
 from spindleglade.runtime.clock import seconds
 from tests.deployment_config import CANCEL
-from tests.invariants.dependency_invariants import OVER
+from tests.invariants.dependency_invariants import FINAL_STATES
 from tests.pipeline_deployments import LONG, post, ready, stages_of
 from tests.pipelines import chain, diamond, fan_out
 from tests.waiting import run_until
@@ -26,7 +26,7 @@
     assert set(stages_of(deployment, pipeline.jobs)) == {"aborted"}
     deployment.run(CANCEL + seconds(5))
     assert not any(deployment.executions.machines_of(job) for job in pipeline.jobs)
-    assert {job for job in pipeline.jobs if job in deployment.executions.began_at} == {pipeline.job(0)}
+    assert {job for job in pipeline.jobs if job in deployment.executions.first_start_at} == {pipeline.job(0)}
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -57,14 +57,14 @@
     assert len(deployment.jobs.accepted) == 12 and set(deployment.jobs.observed_states.values()) == {
         "aborted"
     }
-    assert not any(deployment.dependencies.ancestors(job) for job in deployment.executions.began_at)
+    assert not any(deployment.dependencies.ancestors(job) for job in deployment.executions.first_start_at)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_cancelling_at_the_moment_of_an_end(seed):
     """Either the job's end is recorded first and the pipeline goes on, or all descendants are aborted."""
     deployment, pipelines = ready(360 + seed)
-    deployment.faults.during(seconds(40), "cancel_at_end", 0.4)
+    deployment.faults.set_rate_during(seconds(40), "cancel_at_end", 0.4)
     pipelines.stream(10, seconds(1))
     deployment.run(seconds(30))
     pipelines.settle()
@@ -107,7 +107,7 @@
 def test_all_after_a_job_cancelled_through_another_node_know_it_there(seed):
     """The jobs are cancelled at one controller, and users poll all controllers within milliseconds."""
     deployment, pipelines = ready(390 + seed)
-    deployment.faults.during(seconds(30), "poll_everywhere", True)
+    deployment.faults.set_rate_during(seconds(30), "poll_everywhere", True)
     begun = [pipelines.begin(shape, **LONG) for shape in (chain(4), diamond(), fan_out(4))]
     run_until(deployment, lambda: all(pipeline.complete for pipeline in begun))
     for number, pipeline in enumerate(begun):
@@ -161,7 +161,7 @@
     deployment, pipelines = ready(420 + seed)
     pipelines.stream(10, seconds(1.2))
     pipelines.cancel_some(0.3, seconds(6))
-    deployment.faults.during(seconds(16), "cancel_at_end", 0.2)
+    deployment.faults.set_rate_during(seconds(16), "cancel_at_end", 0.2)
     deployment.faults.change_leaders(5, seconds(15))
     deployment.run(seconds(20))
     assert deployment.counts["leaders"] > 3
@@ -179,4 +179,4 @@
     assert {deployment.jobs.observed_states[job] for job in pipeline.jobs} == {"aborted"}
     # No records are written for the descendants: their cancellation is derived.
     assert deployment.state.changes - changes_before < 30
-    assert set(deployment.jobs.observed_states.values()) <= set(OVER)
+    assert set(deployment.jobs.observed_states.values()) <= set(FINAL_STATES)
--- a/tests/test_pipeline_combined_faults.py
+++ b/tests/test_pipeline_combined_faults.py
@@ -40,10 +40,13 @@
     deployment, pipelines = ready(800 + seed)
     for shape in (chain(3), diamond(), fan_out(3), fan_in(3)):
         pipelines.begin(shape, **SMALL, crew="red", run_s=[9.0])
-    run_until(deployment, lambda: len(deployment.executions.began_at) >= 6)
-    deployment.faults.during(seconds(12), "cancel_at_end", 1.0)
+    run_until(deployment, lambda: len(deployment.executions.first_start_at) >= 6)
+    deployment.faults.set_rate_during(seconds(12), "cancel_at_end", 1.0)
     begins = (
-        max(deployment.executions.began_at.values()) + seconds(9) - seconds(before_s) - deployment.clock.now()
+        max(deployment.executions.first_start_at.values())
+        + seconds(9)
+        - seconds(before_s)
+        - deployment.clock.now()
     )
     deployment.clock.later(
         max(begins, seconds(0)), deployment.faults.refuse_leader_then_outage, seconds(7), CANCEL + seconds(6)
@@ -92,7 +95,7 @@
 
     deployment.users.accepted_callbacks.append(send_dependent)
     for at in (0.2, 6.0, 11.0):
-        deployment.clock.later(seconds(at), deployment.faults.refuse, lagging, seconds(4))
+        deployment.clock.later(seconds(at), deployment.faults.refuse_by_store, lagging, seconds(4))
     for number in range(16):
         deployment.clock.later(
             seconds(number), lambda n=number: deployment.users.submit_and_poll(n, **SMALL, run_s=2.0)
@@ -103,7 +106,7 @@
     # Each job is accepted once; a repeated submission is answered with 200 and the state of the job.
     assert deployment.counts["submission 200"] >= 3
     assert [deployment.jobs.observed_states[job] == "aborted" for job in sent] == [
-        deployment.dependencies.cancelled(job) for job in sent
+        deployment.dependencies.is_cancel_requested(job) for job in sent
     ]
 
 
@@ -112,13 +115,13 @@
     """Users poll all controllers after each answer with a new state and cancel a fifth of the jobs at once,
     while leaders change and the store is slow."""
     deployment, pipelines = ready(820 + seed)
-    deployment.faults.during(seconds(26), "poll_everywhere", True)
-    deployment.faults.during(seconds(16), "cancel_at_once", 0.2)
-    deployment.faults.during(seconds(20), "slow_store", seconds(0.2))
+    deployment.faults.set_rate_during(seconds(26), "poll_everywhere", True)
+    deployment.faults.set_rate_during(seconds(16), "cancel_at_once", 0.2)
+    deployment.faults.set_rate_during(seconds(20), "slow_store", seconds(0.2))
     pipelines.stream(9, seconds(1.5))
     deployment.clock.later(seconds(5), deployment.faults.change_leaders, 3, seconds(10))
     deployment.run(seconds(26))
-    assert deployment.counts["close looks"] > 30 and deployment.counts["leaders"] > 1
+    assert deployment.counts["polls at all controllers"] > 30 and deployment.counts["leaders"] > 1
     pipelines.settle()
 
 
@@ -130,15 +133,15 @@
     begun = [pipelines.begin(shape, **SMALL, run_s=[4.0]) for shape in (chain(3), diamond(), fan_in(4))]
     run_until(
         deployment,
-        lambda: all(one.complete for one in begun) and len(deployment.executions.began_at) >= 6,
+        lambda: all(one.complete for one in begun) and len(deployment.executions.first_start_at) >= 6,
     )
-    deployment.faults.during(seconds(14), "lost_answers", 0.5)
+    deployment.faults.set_rate_during(seconds(14), "lost_answers", 0.5)
     for at in (4.2, 9.0):
         deployment.clock.later(
             seconds(at), lambda: deployment.faults.restart(deployment.leader() or 0, seconds(0.5))
         )
     deployment.run(seconds(16))
-    assert deployment.counts["astray carried out"] > 5
+    assert deployment.counts["unanswered transactions executed"] > 5
     pipelines.settle()
     assert set(deployment.jobs.observed_states.values()) == {"done"}
 
@@ -200,7 +203,7 @@
     sample = descendants[::25]
     answers = answers_everywhere(deployment, sample)
     assert {(status, body["stage"]) for status, body in answers.values()} == {(200, "aborted")}
-    assert not deployment.executions.began_at.keys() & set(descendants)
+    assert not deployment.executions.first_start_at.keys() & set(descendants)
     assert deployment.state.changes - changes_before < 60
     for job in sample:
         deployment.users.poll(job)
--- a/tests/test_pipeline_submissions.py
+++ b/tests/test_pipeline_submissions.py
@@ -101,9 +101,9 @@
         dependents.append(body["ref"])
 
     deployment.users.accepted_callbacks.append(lambda job: submit_dependent(job) if job < "job-8" else None)
-    deployment.faults.during(seconds(20), "slow_store", seconds(0.8))
+    deployment.faults.set_rate_during(seconds(20), "slow_store", seconds(0.8))
     for at in (1, 5, 9):
-        deployment.clock.later(seconds(at), deployment.faults.refuse, seed % 3, seconds(2))
+        deployment.clock.later(seconds(at), deployment.faults.refuse_by_store, seed % 3, seconds(2))
     for number in range(12):
         deployment.clock.later(
             seconds(number), lambda n=number: deployment.users.submit_and_poll(n, run_s=1.0)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -37,10 +37,11 @@
     assert set(stages_of(deployment, dependents)) == {"pending"}
     pipelines.settle()
     for job in dependents:
-        ancestors_began_at = max(
-            deployment.executions.began_at[ancestor] for ancestor in deployment.dependencies.ancestors(job)
+        ancestors_started_at = max(
+            deployment.executions.first_start_at[ancestor]
+            for ancestor in deployment.dependencies.ancestors(job)
         )
-        assert deployment.executions.began_at[job] > ancestors_began_at
+        assert deployment.executions.first_start_at[job] > ancestors_started_at
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -48,9 +49,9 @@
     deployment, pipelines = ready(320 + seed, error=0.05)
     pipelines.stream(8, seconds(1.5))
     pipelines.cancel_some(0.1, seconds(6))
-    deployment.clock.later(seconds(5), deployment.faults.during, seconds(6), "lost_messages", 0.1)
+    deployment.clock.later(seconds(5), deployment.faults.set_rate_during, seconds(6), "lost_messages", 0.1)
     deployment.clock.later(seconds(7), lambda: deployment.faults.kill_machine(min(deployment.workers)))
-    deployment.clock.later(seconds(8), deployment.faults.during, seconds(8), "cancel_at_end", 0.3)
+    deployment.clock.later(seconds(8), deployment.faults.set_rate_during, seconds(8), "cancel_at_end", 0.3)
     deployment.run(seconds(20))
     pipelines.settle()
 
@@ -70,12 +71,12 @@
 @pytest.mark.parametrize("fault", ["late_writes", "lost_answers"])
 def test_pipelines_with_transactions_without_an_answer(seed, fault):
     deployment, pipelines = ready(430 + seed)
-    deployment.faults.during(seconds(18), fault, 0.3)
+    deployment.faults.set_rate_during(seconds(18), fault, 0.3)
     pipelines.stream(10, seconds(1.2))
     pipelines.cancel_some(0.2, seconds(6))
     deployment.clock.later(seconds(6), deployment.faults.restart_leader, seconds(1))
     deployment.run(seconds(20))
-    assert deployment.counts["astray"] > 2
+    assert deployment.counts["unanswered transactions"] > 2
     pipelines.settle()
 
 
--- a/tests/test_pipelines_after_roll.py
+++ b/tests/test_pipelines_after_roll.py
@@ -59,7 +59,7 @@
     ] * 3
     assert (
         deployment.jobs.observed_states[after_aborted] == "aborted"
-        and after_aborted not in deployment.executions.began_at
+        and after_aborted not in deployment.executions.first_start_at
     )
 
 
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -259,7 +259,7 @@
         if number % 4 == 0:
             deployment.clock.later(seconds(number + 1.5), deployment.users.cancel, f"job-{number:06d}")
     deployment.run(seconds(12))
-    deployment.faults.refuse(((deployment.leader() or 0) + 1) % 3, seconds(4))
+    deployment.faults.refuse_by_store(((deployment.leader() or 0) + 1) % 3, seconds(4))
     deployment.run(seconds(8))
     return deployment
 
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -9,7 +9,7 @@
 from spindleglade.runtime.clock import seconds
 from tests import production
 from tests.deployment_config import description
-from tests.invariants.dependency_invariants import OVER
+from tests.invariants.dependency_invariants import FINAL_STATES
 from tests.production_writer import ConditionFailed, ProductionWriter
 from tests.recorded_day import LARGE_ARRAY, answers_everywhere, read_store, recorded_deployment
 from tests.stored_tasks import Attempts, StoredTasks
@@ -74,7 +74,7 @@
         sum(job >= f"job-{FIRST_ACCEPTED_BY_PRODUCTION:06d}" for job in deployment.jobs.observed_states) == 4
     )
     for job, stage in recorded.items():
-        assert deployment.jobs.observed_states[job] == (stage if stage in OVER else "done"), job
+        assert deployment.jobs.observed_states[job] == (stage if stage in FINAL_STATES else "done"), job
     # The tasks that the recorded state lists as done were not run again by the new leader.
     chunk = production.decode_record("sg/task/", read_store().value(f"sg/task/{LARGE_ARRAY}/000000"))
     for first, last in chunk.done:
@@ -122,13 +122,13 @@
 @pytest.mark.parametrize("fault", ["late_writes", "lost_answers"])
 def test_transactions_without_an_answer_during_the_roll(seed, fault):
     deployment, writer = begin_upgrade(520 + seed)
-    deployment.faults.during(seconds(20), fault, 0.3)
+    deployment.faults.set_rate_during(seconds(20), fault, 0.3)
     deployment.run(seconds(6))
     end_upgrade(deployment, writer)
     for index in range(3):
         deployment.clock.later(seconds(4 + 4 * index), deployment.faults.restart, index, seconds(1.5))
     deployment.run(seconds(20))
-    assert deployment.counts["astray"] > 3
+    assert deployment.counts["unanswered transactions"] > 3
     settle(deployment, 100.0)
 
 
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -48,7 +48,7 @@
     early_until = deployment.clock.now() - seconds(20)
     early = [job for job, at in deployment.jobs.submitted_at.items() if silent_since < at < early_until]
     assert len(early) >= 30 and all(
-        job in deployment.jobs.accepted and job in deployment.executions.began_at for job in early
+        job in deployment.jobs.accepted and job in deployment.executions.first_start_at for job in early
     )
     deployment.run(SILENCE - seconds(40) - seconds(1))
     # Once the silence is detected, peers send that controller only heartbeats, on one connection at a time.
--- a/tests/test_simulated_deployment.py
+++ b/tests/test_simulated_deployment.py
@@ -61,7 +61,7 @@
         deployment.jobs.observed_states[job] not in ("done", "aborted") for job in deployment.jobs.accepted
     ):
         # The work may exceed what the teams' limits allow in this time, so more time is given for it.
-        deployment.run(max(map(deployment.service.work, ("red", "blue"))))
+        deployment.run(max(map(deployment.service.max_work_time, ("red", "blue"))))
     # All faults are over by now: every accepted job must be done or aborted, and its user must know.
     for job in deployment.jobs.accepted:
         assert deployment.jobs.observed_states[job] in ("done", "aborted"), (
--- a/tests/test_whole_fleet.py
+++ b/tests/test_whole_fleet.py
@@ -112,13 +112,13 @@
     assert len(fleet_run.shares_done(1)) == len(TEAMS) and min(fleet_run.shares_done(1).values()) >= 0.5
     assert len(fleet_run.shares_done(2)) == 2 * len(CLASSES) and min(fleet_run.shares_done(2).values()) >= 0.5
     waits = [
-        deployment.executions.began_at.get(job, seconds(1e6)) - deployment.jobs.submitted_at[job]
+        deployment.executions.first_start_at.get(job, seconds(1e6)) - deployment.jobs.submitted_at[job]
         for job in fleet_run.jobs
     ]
     assert max(waits) < seconds(240)
     # While the other controllers were down, most workers were connected to one controller, which also had
     # commands for each of them.
-    assert MACHINES // 2 < deployment.connections.most_open <= CONFIG.sockets
+    assert MACHINES // 2 < deployment.connections.max_open <= CONFIG.sockets
     assert deployment.executions.started > 2000
 
 
@@ -129,8 +129,8 @@
     deployment.run(seconds(27), timedelta(milliseconds=200))
     print(
         deployment.executions.started,
-        deployment.connections.most_open,
-        sorted(deployment.executions.began_at.items()),
+        deployment.connections.max_open,
+        sorted(deployment.executions.first_start_at.items()),
         sorted(deployment.jobs.answered_at.items()),
     )
 
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -39,7 +39,7 @@
         own_name = MODULES.get(name, name) if self.is_production else name
         return importlib.import_module(f"{self.package}.{own_name}")
 
-    def named(self, module: str, name: str) -> Any:
+    def member(self, module: str, name: str) -> Any:
         """A member of a module of this version, by the current names of the module and the member."""
         own_name = NAMES.get(name, name) if self.is_production else name
         return getattr(self.module(module), own_name)
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from spindleglade.runtime.clock import seconds
-from tests.invariants.dependency_invariants import OVER
+from tests.invariants.dependency_invariants import FINAL_STATES
 from tests.simulated_deployment import SimulatedDeployment
 
 
@@ -35,5 +35,5 @@
     return {
         job: deployment.jobs.observed_states.get(job)
         for job in deployment.jobs.descriptions
-        if deployment.jobs.observed_states.get(job) not in OVER
+        if deployment.jobs.observed_states.get(job) not in FINAL_STATES
     }
--- a/tests/workloads.py
+++ b/tests/workloads.py
@@ -59,7 +59,7 @@
         for job in open_jobs:
             deployment.users.poll(job)
     assert not open_jobs, {job: deployment.jobs.observed_states.get(job) for job in open_jobs}
-    deployment.service.check_day()
+    deployment.service.check_objectives()
 
 
 def assert_none_began_twice(deployment, jobs):
