--- a/tests/deployment_config.py
+++ b/tests/deployment_config.py
@@ -10,7 +10,7 @@
 from spindleglade.settings import Platform
 
 # `cancel_s`: the time within which a confirmed cancellation stops all tasks of its job.
-CANCEL = seconds(20)
+CANCEL_TIMEOUT = seconds(20)
 TYPES = [
     {
         "name": "m8",
@@ -39,7 +39,7 @@
     # The most machines that the cloud provides at a time.
     capacity: int = 5
     # The interval of heartbeats, and the length of a worker's lease.
-    report: timedelta = seconds(1)
+    heartbeat_interval: timedelta = seconds(1)
     lease: timedelta = seconds(6)
     teams: tuple[dict, ...] = tuple(TEAMS)
     # Requests per second that the state service admits, how many of them may write, and requests per second
@@ -95,9 +95,9 @@
             "zones": ["a", "b"],
             "teams": list(config.teams),
             "workers": {
-                "report_s": config.report.total_seconds(),
+                "report_s": config.heartbeat_interval.total_seconds(),
                 "lease_s": config.lease.total_seconds(),
-                "cancel_s": CANCEL.total_seconds(),
+                "cancel_s": CANCEL_TIMEOUT.total_seconds(),
             },
             "state": _state_limits(config),
             "cloud": {"rps": config.cloud_rps, "list_lag_s": 1.0},
@@ -134,6 +134,6 @@
     } | fields
 
 
-def size(job: dict) -> float:
+def requested_cpus(job: dict) -> float:
     """The CPUs of all tasks of a job together."""
     return job["threads"] * job["vcpus"]
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -39,7 +39,8 @@
 
     `jobs` holds the job descriptions that users submitted. `send` posts a heartbeat to a controller and calls
     back with the answer, or None if there is none. `on_started` and `on_ended` are called with the names of
-    the machine and the task when a task starts and stops running. `error` is the share of attempts that fail.
+    the machine and the task when a task starts and stops running. `task_failure_rate` is the share of
+    attempts that fail.
     """
 
     def __init__(
@@ -56,12 +57,17 @@
         on_started: Callable[[str, str], None],
         on_ended: Callable[[str, str], None],
         run_time_s: Callable[[str], float],
-        error: float = 0.0,
+        task_failure_rate: float = 0.0,
     ) -> None:
         self.clock, self.rng, self.machine, self.machine_type = clock, rng, machine, machine_type
         self.heartbeat_interval, self.lease = heartbeat_interval, lease
         self.jobs, self.controllers, self._send = jobs, controllers, send
-        self.on_started, self.on_ended, self.run_time_s, self.error = on_started, on_ended, run_time_s, error
+        self.on_started, self.on_ended, self.run_time_s, self.task_failure_rate = (
+            on_started,
+            on_ended,
+            run_time_s,
+            task_failure_rate,
+        )
         self.incarnation, self.sequence, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Task] = {}
         self.completed: set[str] = set()
@@ -250,7 +256,7 @@
         task.state = "running"
         self.has_changes = True
         self.on_started(self.machine.name, task.name)
-        if self.rng.random() < self.error:
+        if self.rng.random() < self.task_failure_rate:
             self._after(task, seconds(0.3), self._exit, task, "error")
             return
         length = 0.0 if task.name in self.completed else self.run_time_s(task.name)
--- a/tests/generated_faults.py
+++ b/tests/generated_faults.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment_config import CANCEL
+from tests.deployment_config import CANCEL_TIMEOUT
 from tests.simulated_deployment import SimulatedDeployment
 
 CONTROLLER_COUNT = 3
@@ -87,7 +87,9 @@
 def _refuse_leader_then_outage(fault: InjectedFault) -> None:
     # The outage lasts longer than `cancel_s`, and some running jobs are cancelled as the fault begins.
     faults = fault.deployment.faults
-    faults.refuse_leader_then_outage(seconds(1 + fault.duration_s), CANCEL + seconds(fault.duration_s / 3))
+    faults.refuse_leader_then_outage(
+        seconds(1 + fault.duration_s), CANCEL_TIMEOUT + seconds(fault.duration_s / 3)
+    )
     faults.cancel_running(3, seconds(0))
 
 
--- a/tests/invariants/dependency_invariants.py
+++ b/tests/invariants/dependency_invariants.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from spindleglade.runtime.clock import ManualClock
-from tests.deployment_config import CANCEL
+from tests.deployment_config import CANCEL_TIMEOUT
 from tests.fakes.state_service import StateService
 from tests.production import JOBS
 from tests.simulation.executions import TaskExecutions
@@ -93,7 +93,7 @@
         if state == "done" and aborted:
             self._add_violation(f"contradiction {job} is reported as done though {aborted} are aborted")
         since = min((self.observed_cancelled_at[ancestor] for ancestor in aborted), default=now)
-        if state not in FINAL_STATES and now - since > CANCEL:
+        if state not in FINAL_STATES and now - since > CANCEL_TIMEOUT:
             self._add_violation(
                 f"orphaned {job} is reported as {state} though one of {aborted} is aborted since {since}"
             )
--- a/tests/invariants/placement_invariants.py
+++ b/tests/invariants/placement_invariants.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from spindleglade.runtime.clock import ManualClock
-from tests.deployment_config import CANCEL, DeploymentConfig
+from tests.deployment_config import CANCEL_TIMEOUT, DeploymentConfig
 from tests.fakes.worker import Worker
 from tests.simulation.job_records import JobRecords, job_of
 
@@ -65,7 +65,7 @@
 
     def _is_overdue(self, job_id: str) -> bool:
         cancelled_at = self._jobs.cancelled_at.get(job_id)
-        return cancelled_at is not None and self._clock.now() - cancelled_at > CANCEL
+        return cancelled_at is not None and self._clock.now() - cancelled_at > CANCEL_TIMEOUT
 
     def _check_not_running_twice(self, task: str, running_on: dict[str, set[str]]) -> None:
         if len(running_on[task]) > 1:
--- a/tests/invariants/service_invariants.py
+++ b/tests/invariants/service_invariants.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment_config import size
+from tests.deployment_config import requested_cpus
 from tests.fakes.cloud import Machine
 from tests.invariants.dependency_invariants import FINAL_STATES
 
@@ -50,11 +50,11 @@
         """Returns the ids of the largest jobs of each class by the total CPUs of all tasks."""
         max_sizes: dict[str, float] = {}
         for job in self._deployment.jobs.descriptions.values():
-            max_sizes[job["bobbin"]] = max(max_sizes.get(job["bobbin"], 0.0), size(job))
+            max_sizes[job["bobbin"]] = max(max_sizes.get(job["bobbin"], 0.0), requested_cpus(job))
         return {
             job_id
             for job_id, job in self._deployment.jobs.descriptions.items()
-            if size(job) >= max_sizes[job["bobbin"]]
+            if requested_cpus(job) >= max_sizes[job["bobbin"]]
         }
 
     def check_objectives(self) -> None:
@@ -132,7 +132,7 @@
     def max_work_time(self, team: str) -> timedelta:
         """Returns how long a team's jobs take at its CPU limit if each runs for its maximum time."""
         cpu_s = sum(
-            size(job) * MAX_RUN_TIME_FACTOR * job["run_s"]
+            requested_cpus(job) * MAX_RUN_TIME_FACTOR * job["run_s"]
             for job in self._deployment.jobs.descriptions.values()
             if job["crew"] == team
         )
--- a/tests/large_fleet.py
+++ b/tests/large_fleet.py
@@ -58,7 +58,7 @@
     teams = tuple({"name": name, "cpus": cpus / 2, "cpus_max": cpus * 1.5} for name in TEAMS)
     return DeploymentConfig(
         capacity=machines,
-        report=seconds(2.5),
+        heartbeat_interval=seconds(2.5),
         lease=seconds(14),
         teams=teams,
         rps=600.0,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -166,7 +166,7 @@
             await pause()
         return None
 
-    async def serves(self, index):
+    async def is_ready(self, index):
         """Whether this controller reports within a minute that it is ready."""
         end = time.monotonic() + 60
         while time.monotonic() < end:
@@ -178,7 +178,7 @@
             await pause()
         return False
 
-    async def ready(self):
+    async def wait_until_ready(self):
         """Waits for three answers that a controller is ready."""
         for _ in range(3):
             assert await self.ask_until("GET", "/ready", None, 200)
@@ -188,16 +188,16 @@
         self.jobs[name] = job = description(name, {"threads": 3, "vcpus": 1.0, "size_gb": 0.1} | fields)
         assert await self.ask_until("POST", "/submissions", json.dumps(job).encode(), 200, 201), name
 
-    async def done(self, name):
+    async def wait_until_done(self, name):
         """Waits until the job is done."""
         assert await self.ask_until("GET", f"/submissions/{name}", None, 200, job_state="done"), name
 
     async def run_job(self, name):
         """Submits a job and waits until it is done."""
         await self.submit(name)
-        await self.done(name)
+        await self.wait_until_done(name)
 
-    def end(self):
+    def shut_down(self):
         """Kills all processes, stops the workers and closes the fakes' ports."""
         for process in self.processes.values():
             process.kill()
--- a/tests/pipeline_deployments.py
+++ b/tests/pipeline_deployments.py
@@ -4,19 +4,19 @@
 from tests.deployment_config import DeploymentConfig
 from tests.fakes.encoding import encode
 from tests.pipelines import Pipelines
-from tests.recorded_day import answers_everywhere
+from tests.recorded_day import answers_of_all_controllers
 from tests.simulated_deployment import SimulatedDeployment
 
 # Teams and machines with room for all pipelines that the tests submit.
 TEAMS = tuple({"name": name, "cpus": 40.0, "cpus_max": 80.0} for name in ("red", "blue"))
-ROOMY = DeploymentConfig(capacity=8, teams=TEAMS)
+CONFIG = DeploymentConfig(capacity=8, teams=TEAMS)
 # Fields of a job with one task that nominally runs for 8 s.
-LONG = {"threads": 1, "vcpus": 1.0, "run_s": 8.0}
+LONG_JOB_FIELDS = {"threads": 1, "vcpus": 1.0, "run_s": 8.0}
 
 
-def ready(seed, **options):
+def deployment_with_leader(seed, **options):
     """A deployment that has run for 3 s to elect a leader, and its pipelines."""
-    deployment = SimulatedDeployment(seed, config=ROOMY, **options)
+    deployment = SimulatedDeployment(seed, config=CONFIG, **options)
     deployment.run(seconds(3))
     return deployment, Pipelines(deployment)
 
@@ -24,7 +24,7 @@
 def stages_of(deployment, jobs):
     """The state of each job. Fails unless all controllers answer with the same state."""
     states = {}
-    for (_, job), (status, body) in answers_everywhere(deployment, jobs).items():
+    for (_, job), (status, body) in answers_of_all_controllers(deployment, jobs).items():
         assert status == 200, (job, status)
         assert states.setdefault(job, body["stage"]) == body["stage"], job
     return [states[job] for job in jobs]
--- a/tests/record_production.py
+++ b/tests/record_production.py
@@ -70,7 +70,7 @@
 
 def run_until_recorded() -> RecordingDeployment:
     """Runs a deployment under load until its store holds a record of each kind."""
-    deployment = RecordingDeployment(SEED, error=0.15, config=day.RECORDED)
+    deployment = RecordingDeployment(SEED, task_failure_rate=0.15, config=day.RECORDED)
     deployment.run(seconds(3))
     run_times_s = [4.0 + (index * 7) % 60 for index in range(day.LARGE_ARRAY_TASKS)]
     deployment.users.submit(
--- a/tests/recorded_day.py
+++ b/tests/recorded_day.py
@@ -58,7 +58,7 @@
     def value(self, key: str) -> str:
         return next(entry.value for entry in self.entries if entry.key == key)
 
-    def under(self, prefix: str) -> list[StoredEntry]:
+    def entries_with_prefix(self, prefix: str) -> list[StoredEntry]:
         return [entry for entry in self.entries if entry.key.startswith(prefix)]
 
 
@@ -186,7 +186,7 @@
         worker.resume(task, seconds(recorded.left_s))
 
 
-def answers_everywhere(
+def answers_of_all_controllers(
     deployment: SimulatedDeployment, jobs: list[str]
 ) -> dict[tuple[str, str], tuple[int, Any]]:
     """The status and body that each running controller answers for each job, keyed by controller and job. The
--- a/tests/simulated_deployment.py
+++ b/tests/simulated_deployment.py
@@ -48,13 +48,13 @@
         self,
         seed: int,
         capacity: int = 5,
-        error: float = 0.0,
+        task_failure_rate: float = 0.0,
         settings: OperatorSettings | None = None,
         config: DeploymentConfig | None = None,
         begin: Callable[["SimulatedDeployment"], None] | None = None,
     ) -> None:
         """`begin` sets up the initial state and starts the initial controllers. Without it the deployment is
-        empty and all controllers start at once. `error` is the fraction of tasks that fail."""
+        empty and all controllers start at once. `task_failure_rate` is the fraction of tasks that fail."""
         self.settings = settings or OperatorSettings()
         self.config = config or DeploymentConfig(capacity=capacity)
         self.clock = ManualClock()
@@ -71,7 +71,7 @@
         self._add_services()
         self._add_network()
         self._add_job_invariants()
-        self._add_processes(error)
+        self._add_processes(task_failure_rate)
         self._add_users()
         self.faults = self._make_faults()
         self.liveness = LivenessInvariants(self)
@@ -125,12 +125,12 @@
             self.violations,
         )
 
-    def _add_processes(self, error: float) -> None:
+    def _add_processes(self, task_failure_rate: float) -> None:
         self.machines = SimulatedMachines(
             self.clock,
             self.rng,
             self.config,
-            error,
+            task_failure_rate,
             self.endpoints,
             self.network,
             self.connections,
--- a/tests/simulation/machines.py
+++ b/tests/simulation/machines.py
@@ -30,15 +30,15 @@
         clock: ManualClock,
         rng: Random,
         config: DeploymentConfig,
-        error: float,
+        task_failure_rate: float,
         endpoints: Endpoints,
         network: SimulatedNetwork,
         connections: OpenConnections,
         jobs: JobRecords,
         executions: TaskExecutions,
     ) -> None:
-        """`error` is the share of task attempts that fail."""
-        self._clock, self._rng, self._config, self._error = clock, rng, config, error
+        """`task_failure_rate` is the share of task attempts that fail."""
+        self._clock, self._rng, self._config, self._task_failure_rate = clock, rng, config, task_failure_rate
         self._endpoints, self._network, self._connections = endpoints, network, connections
         self._jobs, self._executions = jobs, executions
 
@@ -53,7 +53,7 @@
             self._rng,
             machine,
             TYPES[0] | {"vcpus": self._config.machine_cpus},
-            self._config.report,
+            self._config.heartbeat_interval,
             self._config.lease,
             self._jobs.descriptions,
             self._endpoints.controller_names,
@@ -61,7 +61,7 @@
             self._executions.on_task_started,
             self._executions.on_task_ended,
             self._run_time_s,
-            self._error,
+            self._task_failure_rate,
         )
 
     def stop_worker(self, name: str) -> None:
--- a/tests/stored_tasks.py
+++ b/tests/stored_tasks.py
@@ -6,10 +6,10 @@
 from tests.simulated_deployment import SimulatedDeployment
 
 # Keys of overflow ranges: smaller ranges of a job's tasks, each keyed by its first task.
-PARTS = "sg/part/"
+OVERFLOW_RANGE_KEY_PREFIX = "sg/part/"
 
 
-class StoredTasks:
+class StoredTaskInvariants:
     """Checks the store at each transaction, and adds what the transaction lost to `deployment.violations`.
 
     While a job is open, tasks that were done stay done, and the highest attempt of a task that is not done
@@ -29,14 +29,14 @@
     def _write_and_check(self, writes: list[dict]) -> None:
         # The write answers watches, but the network delivers the answers only after the check below.
         self._write(writes)
-        self._deployment.counts["parts written"] += sum(
-            write.get("set", "").startswith(PARTS) for write in writes
+        self._deployment.counts["overflow ranges written"] += sum(
+            write.get("set", "").startswith(OVERFLOW_RANGE_KEY_PREFIX) for write in writes
         )
         if any(self._concerns_tasks(write) for write in writes):
             self._check()
 
     def _concerns_tasks(self, write: dict) -> bool:
-        return (write.get("set") or write["remove"]).startswith((TASKS, PARTS))
+        return (write.get("set") or write["remove"]).startswith((TASKS, OVERFLOW_RANGE_KEY_PREFIX))
 
     def _check(self) -> None:
         done, attempts = self._read()
@@ -65,7 +65,7 @@
         """The values by job and first task. A chunk without a key counts as an empty value."""
         values_by_job: dict[str, dict[int, dict[str, Any]]] = {}
         for key, (value, _, _) in self._deployment.state.keys.items():
-            if not key.startswith((TASKS, PARTS)):
+            if not key.startswith((TASKS, OVERFLOW_RANGE_KEY_PREFIX)):
                 continue
             job, number = split_chunk_key(key) if key.startswith(TASKS) else _split_overflow_range_key(key)
             size = self._deployment.state.keys[JOBS + job][0]["chunk"]
@@ -95,7 +95,7 @@
 
 
 def _split_overflow_range_key(key: str) -> tuple[str, int]:
-    job, _, first = key[len(PARTS) :].rpartition("/")
+    job, _, first = key[len(OVERFLOW_RANGE_KEY_PREFIX) :].rpartition("/")
     return job, int(first)
 
 
@@ -108,7 +108,7 @@
     return placed + [(int(task), attempt) for task, attempt in chunk.get("tried", {}).items()]
 
 
-class Attempts:
+class AttemptInvariants:
     """Checks that no attempt starts on two machines or in two incarnations of one machine.
 
     It samples the tasks of all machines ten times per heartbeat interval.
@@ -127,4 +127,4 @@
                     self._deployment.violations.append(
                         f"attempt {attempt} on {location} and on {self._locations[attempt]}"
                     )
-        self._deployment.clock.later(self._deployment.config.report / 10, self._sample)
+        self._deployment.clock.later(self._deployment.config.heartbeat_interval / 10, self._sample)
--- a/tests/test_both_versions.py
+++ b/tests/test_both_versions.py
@@ -13,7 +13,7 @@
 from tests.generated_faults import FAULTS, inject
 from tests.pipelines import Pipelines, chain, diamond, fan_in
 from tests.simulated_deployment import SimulatedDeployment
-from tests.stored_tasks import Attempts, StoredTasks
+from tests.stored_tasks import AttemptInvariants, StoredTaskInvariants
 from tests.versions import has_history, is_of_production, production
 from tests.waiting import settle
 
@@ -40,8 +40,8 @@
             deployment.processes.start(index)
 
     deployment = SimulatedDeployment(seed, config=CONFIG, begin=begin, **named)
-    StoredTasks(deployment)
-    Attempts(deployment)
+    StoredTaskInvariants(deployment)
+    AttemptInvariants(deployment)
     deployment.run(seconds(3))
     deployment.users.submit_and_poll(1, threads=LARGE_ARRAY_TASKS, vcpus=1.0, mem_gb=0.1, run_s=12.0)
     return deployment
@@ -111,7 +111,7 @@
     deployment.clock.later(seconds(2), lambda: deployment.state.lower_limits(**NEXT_LIMITS))
     pipelines.cancel_some(0.1, seconds(4))
     deployment.run(seconds(8))
-    settle(deployment, 150.0, after_troubles=True)
+    settle(deployment, 150.0, after_faults=True)
     pipelines.settle()
 
 
@@ -189,8 +189,8 @@
 def test_no_rule_is_broken_between_the_versions_whatever_fails(seed, faults, order):
     deployment = start_deployment(seed)
     stream(deployment, 30, 0.8)
-    for kind, at, length, hold, pick in faults:
-        deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
+    for kind, start_s, duration_s, hold, selector in faults:
+        deployment.clock.later(seconds(start_s), inject, deployment, kind, duration_s, hold, selector)
     for number, index in enumerate(order):
         deployment.clock.later(seconds(5 + 7 * number), upgrade, deployment, index)
     deployment.fault_window.extend(seconds(26))
--- a/tests/test_cancellations_in_store_outages.py
+++ b/tests/test_cancellations_in_store_outages.py
@@ -9,7 +9,7 @@
 
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import seconds
-from tests.deployment_config import CANCEL
+from tests.deployment_config import CANCEL_TIMEOUT
 from tests.simulated_deployment import SimulatedDeployment
 
 
@@ -27,8 +27,8 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("peers_connected", [True, False])
 def test_tasks_cancelled_before_a_store_outage_are_gone_in_time(seed, peers_connected):
-    """SimulatedDeployment.run fails if a task is still on a machine `CANCEL` after the cancellation was
-    confirmed to the user. `peers_connected` says whether the controllers reach each other meanwhile."""
+    """SimulatedDeployment.run fails if a task is still on a machine `CANCEL_TIMEOUT` after the cancellation
+    was confirmed to the user. `peers_connected` says whether the controllers reach each other meanwhile."""
     deployment, jobs, leader = start_jobs(seed)
     deployment.network.refused_by_store.add(leader)
     for worker in deployment.workers.values():
@@ -47,10 +47,10 @@
     while not set(deployment.jobs.cancelled_at) >= set(jobs[:2]):
         deployment.run(seconds(0.1))
     # After an outage the store's leases start again with their full time, so the old leader keeps its key.
-    deployment.state.outage(CANCEL + seconds(15))
+    deployment.state.outage(CANCEL_TIMEOUT + seconds(15))
     deployment.clock.later(seconds(14), deployment.network.refused_by_store.clear)
     started = deployment.executions.started
-    deployment.run(CANCEL + seconds(10))
+    deployment.run(CANCEL_TIMEOUT + seconds(10))
     if peers_connected:
         # Peers tell the old leader which cancellations they confirmed, so it goes on renewing the leases of
         # the job that was not cancelled.
@@ -72,21 +72,21 @@
     """Workers' leases are renewed during the outage: no cancellation can be confirmed without the store."""
     deployment, jobs, leader = start_jobs(7)
     started = deployment.executions.started
-    deployment.state.outage(CANCEL * 2)
-    deployment.run(CANCEL * 2 + seconds(5))
+    deployment.state.outage(CANCEL_TIMEOUT * 2)
+    deployment.run(CANCEL_TIMEOUT * 2 + seconds(5))
     assert (
         deployment.executions.started == started
         and sum(map(len, deployment.executions.running_on.values())) == 6
     )
     # Once a controller has restarted during an outage, none may renew leases: the process that ended may have
     # confirmed cancellations that no other controller knows.
-    deployment.state.outage(CANCEL * 2)
+    deployment.state.outage(CANCEL_TIMEOUT * 2)
     deployment.run(seconds(2))
     follower = (deployment.leader() + 1) % 3
     deployment.processes.kill(follower)
     deployment.run(seconds(1))
     deployment.processes.start(follower)
-    deployment.run(CANCEL)
+    deployment.run(CANCEL_TIMEOUT)
     assert not any(deployment.executions.running_on.values())
 
 
--- a/tests/test_combined_faults_of_leadership.py
+++ b/tests/test_combined_faults_of_leadership.py
@@ -10,7 +10,14 @@
 from spindleglade.runtime.clock import seconds
 from tests.deployment_config import DeploymentConfig
 from tests.simulated_deployment import SimulatedDeployment
-from tests.workloads import ROOMY, address, assert_none_began_twice, busy, running, settle
+from tests.workloads import (
+    LARGE_TEAMS,
+    address,
+    assert_none_began_twice,
+    settle,
+    submit_and_await_running,
+    submit_stream,
+)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -18,8 +25,10 @@
     """A new leader must not be misled by outdated heartbeats. Some heartbeats are copied, also those of
     earlier incarnations and attempts. The copies either reach all controllers when the next leader is
     elected, or arrive late, by up to 2.5 lease durations."""
-    deployment = SimulatedDeployment(300 + seed, error=0.1, config=DeploymentConfig(capacity=8, teams=ROOMY))
-    busy(deployment, 60)
+    deployment = SimulatedDeployment(
+        300 + seed, task_failure_rate=0.1, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS)
+    )
+    submit_stream(deployment, 60)
     deployment.run(seconds(2))
     deployment.faults.set_rate_during(seconds(36), "kept_heartbeats", 0.6)
     deployment.faults.set_rate_during(seconds(36), "late_heartbeats", 0.3)
@@ -50,9 +59,9 @@
     """More than half of the machines with running tasks are cut off (messages are lost, or held until the cut
     ends), receive no messages, send no heartbeats, or hang. Some of their jobs are cancelled meanwhile; the
     tasks of the others must go on or be restarted, and must never run twice at the same time."""
-    deployment = SimulatedDeployment(320 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment = SimulatedDeployment(320 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
     deployment.run(seconds(3))
-    jobs = running(deployment, 10, vcpus=4.0, run_s=40.0)
+    jobs = submit_and_await_running(deployment, 10, vcpus=4.0, run_s=40.0)
     # Shorter than a lease, or much longer.
     length = seconds(4 if seed % 2 else 25)
     machines = sorted({machine for job in jobs for machine in deployment.executions.machines_of(job)})
@@ -84,7 +93,7 @@
 def test_ten_leaders_in_two_minutes(seed, outage):
     """The leader changes ten times, optionally during an outage of the store. Some jobs have tasks of very
     different durations, and users cancel jobs around each takeover."""
-    deployment = SimulatedDeployment(340 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment = SimulatedDeployment(340 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
     deployment.run(seconds(3))
     long_jobs = [
         deployment.users.submit(500 + number, threads=3, vcpus=1.0, run_s=[1.0, 30.0, 75.0])
@@ -92,7 +101,7 @@
     ]
     for job in long_jobs:
         deployment.users.poll_until_over(job)
-    busy(deployment, 60, every=1.5, cancelled=0.1)
+    submit_stream(deployment, 60, every=1.5, cancelled=0.1)
     deployment.faults.change_leaders(10, seconds(110))
     for number in range(10):
         # Shortly before or after the end of a leader.
@@ -116,10 +125,10 @@
 def test_a_leader_cut_from_store_and_peers_but_not_from_workers(seed):
     """Workers and users still reach the isolated leader while users cancel jobs through the other
     controllers. The cancellations must be confirmed, and no other task may be restarted."""
-    deployment = SimulatedDeployment(360 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment = SimulatedDeployment(360 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
     deployment.run(seconds(3))
-    jobs = running(deployment, 10, vcpus=2.0, run_s=70.0)
-    busy(deployment, 20, cancelled=0.3)
+    jobs = submit_and_await_running(deployment, 10, vcpus=2.0, run_s=70.0)
+    submit_stream(deployment, 20, cancelled=0.3)
     deployment.run(seconds(3))
     old = deployment.leader()
     if seed % 2:
@@ -143,10 +152,10 @@
     """All controllers end within a second and are back after `downtime_s` seconds, also for more than
     a lease. Then single controllers restart one after another, each for less than a second. After the short
     downtime no task may have been restarted."""
-    deployment = SimulatedDeployment(380 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment = SimulatedDeployment(380 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
     deployment.run(seconds(3))
-    jobs = running(deployment, 6, vcpus=2.0, run_s=20.0)
-    busy(deployment, 40, cancelled=0.3)
+    jobs = submit_and_await_running(deployment, 6, vcpus=2.0, run_s=20.0)
+    submit_stream(deployment, 40, cancelled=0.3)
     deployment.run(seconds(6))
     for index in range(3):
         deployment.clock.later(
--- a/tests/test_combined_faults_of_placement.py
+++ b/tests/test_combined_faults_of_placement.py
@@ -8,9 +8,9 @@
 import pytest
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment_config import CANCEL, DeploymentConfig
+from tests.deployment_config import CANCEL_TIMEOUT, DeploymentConfig
 from tests.simulated_deployment import SimulatedDeployment
-from tests.workloads import ROOMY, address, busy, running, settle
+from tests.workloads import LARGE_TEAMS, address, settle, submit_and_await_running, submit_stream
 
 # Limits of teams.
 
@@ -72,7 +72,7 @@
     )
     deployment.cloud.boot_failure_probability = 0.0
     deployment.run(seconds(3))
-    running(deployment, 4, vcpus=8.0, run_s=[9.0], crew="blue")
+    submit_and_await_running(deployment, 4, vcpus=8.0, run_s=[9.0], crew="blue")
     old = deployment.leader()
     for worker in deployment.workers.values():
         worker.controller_index = (old + 1) % 3
@@ -110,7 +110,7 @@
     """Jobs are bound to a named zone, to any single zone, or spread over zones, while machines fail, are
     preempted by the cloud or are cut off, a zone is cut off, and the leader restarts. The deployment checks
     the zone of each placement."""
-    deployment = SimulatedDeployment(500 + seed, config=DeploymentConfig(capacity=10, teams=ROOMY))
+    deployment = SimulatedDeployment(500 + seed, config=DeploymentConfig(capacity=10, teams=LARGE_TEAMS))
     deployment.run(seconds(3))
     for number in range(24):
         zone_fields = [{"glade": "a"}, {"glade": "b"}, {"together": True}, {"scatter": True}][number % 4]
@@ -153,9 +153,9 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease(seed):
     """Jobs that users cancel meanwhile end in time, and no task runs twice at the same time."""
-    deployment = SimulatedDeployment(520 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment = SimulatedDeployment(520 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
     deployment.run(seconds(3))
-    running(deployment, 10, vcpus=2.0, run_s=30.0)
+    submit_and_await_running(deployment, 10, vcpus=2.0, run_s=30.0)
     deployment.network.cut_zone("ab"[seed % 2], seed < 2, seconds(30))
     deployment.run(seconds(2))
     deployment.faults.cancel_running(4, seconds(0))
@@ -171,18 +171,18 @@
     machines' heartbeats, or reaches only the store and renews their leases by itself. The cloud terminates no
     machine. The start command must not take effect later than `cancel_s` after the cancellation."""
     # Too few machines for the leader to conclude that it is isolated itself.
-    deployment = SimulatedDeployment(540 + seed, config=DeploymentConfig(capacity=2, teams=ROOMY))
+    deployment = SimulatedDeployment(540 + seed, config=DeploymentConfig(capacity=2, teams=LARGE_TEAMS))
     deployment.cloud.boot_failure_probability = 0.0
     deployment.run(seconds(3))
-    running(deployment, 2, vcpus=6.0, run_s=8.0)
+    submit_and_await_running(deployment, 2, vcpus=6.0, run_s=8.0)
     leader = deployment.leader()
     for worker in deployment.workers.values():
         worker.controller_index = (leader + 1) % 3
     deployment.run(seconds(3))
     machines = [worker.machine.address for worker in deployment.workers.values()]
-    deployment.network.cut(deployment.controller_names[leader], machines, True, CANCEL + seconds(10))
+    deployment.network.cut(deployment.controller_names[leader], machines, True, CANCEL_TIMEOUT + seconds(10))
     deployment.cloud.unavailable = True
-    deployment.clock.later(CANCEL + seconds(20), setattr, deployment.cloud, "unavailable", False)
+    deployment.clock.later(CANCEL_TIMEOUT + seconds(20), setattr, deployment.cloud, "unavailable", False)
     jobs = [deployment.users.submit(100 + number, threads=2, vcpus=1.0, run_s=30.0) for number in range(2)]
     deployment.run(seconds(1))
     assert any(attempt.starts_in_flight for attempt in deployment.placed_attempts()), (
@@ -190,11 +190,11 @@
     )
     follower, other_follower = (deployment.controller_names[(leader + step) % 3] for step in (1, 2))
     if not relayed:
-        deployment.network.cut(follower, deployment.controller_names, False, CANCEL + seconds(8))
-        deployment.network.cut(other_follower, machines, False, CANCEL + seconds(8))
+        deployment.network.cut(follower, deployment.controller_names, False, CANCEL_TIMEOUT + seconds(8))
+        deployment.network.cut(other_follower, machines, False, CANCEL_TIMEOUT + seconds(8))
     for job in jobs:
         deployment.users.cancel(job)
-    deployment.run(CANCEL + seconds(20))
+    deployment.run(CANCEL_TIMEOUT + seconds(20))
     assert deployment.leader() == leader or not relayed
     settle(deployment, 120)
 
@@ -203,10 +203,10 @@
 def test_machines_that_cannot_report_get_no_work_that_they_would_lose(seed):
     """Commands reach these machines, but their heartbeats reach no controller, so their leases expire. Tasks
     placed on them would be lost again and again."""
-    deployment = SimulatedDeployment(560 + seed, config=DeploymentConfig(capacity=6, teams=ROOMY))
+    deployment = SimulatedDeployment(560 + seed, config=DeploymentConfig(capacity=6, teams=LARGE_TEAMS))
     deployment.cloud.boot_failure_probability = 0.0
     deployment.run(seconds(3))
-    running(deployment, 6, vcpus=8.0, run_s=8.0)
+    submit_and_await_running(deployment, 6, vcpus=8.0, run_s=8.0)
     for worker in list(deployment.workers.values())[: len(deployment.workers) // 2]:
         if not worker.terminated:
             deployment.faults.stop_heartbeats(worker.machine.address, seconds(90))
@@ -226,8 +226,8 @@
 def test_cancelled_work_on_machines_that_hang(seed):
     """The machines hang for some seconds, shorter or longer than their lease, and then handle the commands
     and responses that arrived meanwhile. Cancelled tasks must not go on."""
-    deployment = SimulatedDeployment(580 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
-    busy(deployment, 60, cancelled=0.1)
+    deployment = SimulatedDeployment(580 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
+    submit_stream(deployment, 60, cancelled=0.1)
     for at in range(5, 30, 4):
         deployment.clock.later(
             seconds(at), deployment.faults.cancel_running, 4, seconds([2.5, 5, 8, 25][seed])
@@ -248,11 +248,11 @@
 def test_one_task_jobs_come_four_a_second_for_minutes():
     """A quarter of the jobs are cancelled. The average number of store writes per job is bounded."""
     deployment = SimulatedDeployment(
-        600, config=DeploymentConfig(capacity=12, teams=ROOMY, write_rps=40.0, rps=100.0)
+        600, config=DeploymentConfig(capacity=12, teams=LARGE_TEAMS, write_rps=40.0, rps=100.0)
     )
     deployment.run(seconds(3))
     changes_before = deployment.state.changes
-    busy(deployment, 480, every=0.25, cancelled=0.25, threads=1, vcpus=1.0, run_s=4.0)
+    submit_stream(deployment, 480, every=0.25, cancelled=0.25, threads=1, vcpus=1.0, run_s=4.0)
     deployment.run(seconds(125))
     settle(deployment, 30)
     # A job that ends takes four writes: accepted, placed, done, task range removed. A cancelled job takes
@@ -266,7 +266,7 @@
     """For five minutes there is more work, of high and low priority, than the machines can run. The largest
     jobs have the lowest priority; they must start in time nevertheless, and every class and team must
     be served."""
-    deployment = SimulatedDeployment(620, config=DeploymentConfig(capacity=5, teams=ROOMY))
+    deployment = SimulatedDeployment(620, config=DeploymentConfig(capacity=5, teams=LARGE_TEAMS))
     deployment.run(seconds(3))
     deployment.faults.set_rate_during(seconds(300), "slow_links", seconds(0.4))
     for number in range(4):
@@ -275,6 +275,8 @@
             seconds(10 + number * 5),
             lambda n=number, f=fields: deployment.users.submit_and_poll(500 + n, **f),
         )
-    busy(deployment, 170, every=1.7, cancelled=0.1, urgency="critical", threads=3, vcpus=3.0, run_s=8.0)
+    submit_stream(
+        deployment, 170, every=1.7, cancelled=0.1, urgency="critical", threads=3, vcpus=3.0, run_s=8.0
+    )
     deployment.run(seconds(300))
     settle(deployment, 300)
--- a/tests/test_combined_faults_of_store.py
+++ b/tests/test_combined_faults_of_store.py
@@ -8,9 +8,9 @@
 import pytest
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment_config import CANCEL, DeploymentConfig
+from tests.deployment_config import CANCEL_TIMEOUT, DeploymentConfig
 from tests.simulated_deployment import SimulatedDeployment
-from tests.workloads import ROOMY, busy, running, settle, stages_everywhere
+from tests.workloads import LARGE_TEAMS, settle, stages_everywhere, submit_and_await_running, submit_stream
 
 # Store.
 
@@ -24,8 +24,8 @@
     once, so that other controllers read its writes while the sender does not know the outcome. Meanwhile
     users poll all controllers, cancel jobs as they end (with probability `at_end`), and the leader
     restarts."""
-    deployment = SimulatedDeployment(100 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
-    busy(deployment, 40)
+    deployment = SimulatedDeployment(100 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
+    submit_stream(deployment, 40)
     deployment.clock.later(
         seconds(3),
         deployment.faults.set_rate_during,
@@ -58,7 +58,7 @@
 def test_new_machines_get_work_while_writes_lag_and_the_leader_ends(seed):
     """Machines are ready within two seconds, but some records about them are written late, when another
     controller leads already."""
-    deployment = SimulatedDeployment(120 + seed, config=DeploymentConfig(capacity=10, teams=ROOMY))
+    deployment = SimulatedDeployment(120 + seed, config=DeploymentConfig(capacity=10, teams=LARGE_TEAMS))
     deployment.cloud.boot_time_s = (0.2, 1.5)
     deployment.run(seconds(3))
     deployment.faults.set_rate_during(seconds(25), "late_writes", 0.3)
@@ -83,13 +83,13 @@
     """The store refuses the leader alone. One second later it is down for all controllers, for longer than
     `cancel_s`. In that second users cancel jobs through the other controllers; the confirmed cancellations
     must take effect in time."""
-    deployment = SimulatedDeployment(140 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment = SimulatedDeployment(140 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
     deployment.run(seconds(3))
     # These jobs keep running, so the leader keeps its machines, and the workers keep their incarnations.
-    jobs = running(deployment, 12, vcpus=2.0, run_s=90.0)
-    busy(deployment, 10, cancelled=0.5)
+    jobs = submit_and_await_running(deployment, 12, vcpus=2.0, run_s=90.0)
+    submit_stream(deployment, 10, cancelled=0.5)
     deployment.run(seconds(4))
-    deployment.faults.refuse_leader_then_outage(seconds(12), CANCEL * 2)
+    deployment.faults.refuse_leader_then_outage(seconds(12), CANCEL_TIMEOUT * 2)
     deployment.faults.cancel_running(8, seconds(0))
     deployment.run(seconds(0.9))
     assert len(deployment.jobs.cancelled_at) >= 4, "too few cancellations confirmed before the outage"
@@ -101,8 +101,8 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_slow_store_refuses_the_leader_and_then_everybody(seed):
     """Users cancel and poll jobs while the store is slow, refuses the leader, and is then down for all."""
-    deployment = SimulatedDeployment(160 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
-    busy(deployment, 60, cancelled=0.4)
+    deployment = SimulatedDeployment(160 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
+    submit_stream(deployment, 60, cancelled=0.4)
     deployment.clock.later(
         seconds(4), deployment.faults.set_rate_during, seconds(20), "slow_store", seconds(1.2)
     )
@@ -110,7 +110,7 @@
         seconds(4), deployment.faults.set_rate_during, seconds(60), "poll_everywhere", True
     )
     deployment.clock.later(
-        seconds(12), deployment.faults.refuse_leader_then_outage, seconds(10), CANCEL + seconds(4)
+        seconds(12), deployment.faults.refuse_leader_then_outage, seconds(10), CANCEL_TIMEOUT + seconds(4)
     )
     deployment.clock.later(
         seconds(42), deployment.faults.set_rate_during, seconds(10), "slow_store", seconds(2.5)
@@ -127,14 +127,14 @@
     """After every answer with a new state, users poll all controllers within milliseconds, several times, and
     repeat the submission. Three tenths of the jobs are cancelled at once, and half of the ending jobs are
     cancelled at the moment of their end. All controllers must answer the same final state."""
-    deployment = SimulatedDeployment(200 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment = SimulatedDeployment(200 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
     deployment.run(seconds(3))
     deployment.faults.set_rate_during(seconds(30), "poll_everywhere", True)
     deployment.faults.set_rate_during(seconds(30), "cancel_at_once", 0.3)
     deployment.faults.set_rate_during(seconds(30), "cancel_at_end", 0.5)
     if seed % 2:
         deployment.faults.set_rate_during(seconds(30), "lost_answers", 0.2)
-    busy(deployment, 60, every=0.4, cancelled=0.2)
+    submit_stream(deployment, 60, every=0.4, cancelled=0.2)
     deployment.run(seconds(30))
     assert (
         deployment.counts["cancelled at its end"] > 3 and deployment.counts["polls at all controllers"] > 60
@@ -149,9 +149,9 @@
 def test_invalid_requests_change_nothing():
     """Users repeat submissions of open jobs, cancel jobs that are done, and submit jobs that can never run,
     while the store is slow, refuses a controller and is down, and a controller restarts."""
-    deployment = SimulatedDeployment(220, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment = SimulatedDeployment(220, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
     deployment.run(seconds(3))
-    busy(deployment, 40)
+    submit_stream(deployment, 40)
     deployment.invalid_requests.send_for(seconds(40))
     deployment.clock.later(
         seconds(5), deployment.faults.set_rate_during, seconds(10), "slow_store", seconds(0.5)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -15,7 +15,7 @@
 from tests.generated_faults import FAULTS, inject
 from tests.production import HISTORY, JOBS, TASKS, VOUCHED, decode_record, split_chunk_key
 from tests.recorded_day import LARGE_ARRAY, RECORDED, recorded_deployment
-from tests.stored_tasks import PARTS, Attempts, StoredTasks
+from tests.stored_tasks import OVERFLOW_RANGE_KEY_PREFIX, AttemptInvariants, StoredTaskInvariants
 from tests.waiting import settle
 
 # The limits on values, transactions and request rates that the state service announces and later applies.
@@ -27,8 +27,8 @@
     """Returns a deployment of the current version that continues from the recorded state and knows the
     announced limits. Users submit further arrays."""
     deployment = recorded_deployment(seed, ANNOUNCED, controllers=(0, 1, 2))
-    StoredTasks(deployment)
-    Attempts(deployment)
+    StoredTaskInvariants(deployment)
+    AttemptInvariants(deployment)
     for job in list(deployment.jobs.descriptions):
         deployment.users.poll_until_over(job)
     for number in range(700, 706):
@@ -47,7 +47,7 @@
 
 
 def settle_and_check_rejections(deployment):
-    settle(deployment, 150.0, after_troubles=True)
+    settle(deployment, 150.0, after_faults=True)
     # A transaction that was rejected for its size must not be sent again unchanged.
     refused = deployment.state.rejected_for_size
     assert len(set(refused)) == len(refused)
@@ -65,11 +65,12 @@
     lower_limits_after(deployment, delay_s)
     assert largest_value(deployment) > NEXT_LIMITS["value_kb"] * 1024
     deployment.run(seconds(30))
-    assert deployment.counts["parts written"] > 3
+    assert deployment.counts["overflow ranges written"] > 3
     settle_and_check_rejections(deployment)
     assert deployment.jobs.observed_states[LARGE_ARRAY] == "done"
     assert not any(
-        key.startswith((TASKS + LARGE_ARRAY, PARTS + LARGE_ARRAY)) for key in deployment.state.keys
+        key.startswith((TASKS + LARGE_ARRAY, OVERFLOW_RANGE_KEY_PREFIX + LARGE_ARRAY))
+        for key in deployment.state.keys
     )
 
 
@@ -118,8 +119,8 @@
 def test_limits_that_fall_whatever_else_fails(seed, faults, after):
     deployment = start_deployment(seed)
     lower_limits_after(deployment, after)
-    for kind, at, length, hold, pick in faults:
-        deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
+    for kind, start_s, duration_s, hold, selector in faults:
+        deployment.clock.later(seconds(start_s), inject, deployment, kind, duration_s, hold, selector)
     deployment.run(seconds(24))
     settle_and_check_rejections(deployment)
 
@@ -172,7 +173,7 @@
     for _ in range(30):
         deployment.run(seconds(0.5))
         for key, (value, _, _) in deployment.state.keys.items():
-            assert not key.startswith(PARTS), key
+            assert not key.startswith(OVERFLOW_RANGE_KEY_PREFIX), key
             if key.startswith((JOBS, TASKS, HISTORY, VOUCHED)):
                 decode_record(key, encode(value))
             if key.startswith(TASKS):
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -117,10 +117,10 @@
 
     deployment = SimulatedDeployment(seed, config=DeploymentConfig(capacity=size), begin=begin)
     deployment.cloud.spot_exhausted = no_spot
-    latest = max(at for _, at, _, _, _ in faults)
-    for kind, at, length, hold, pick in faults:
+    latest = max(start_s for _, start_s, _, _, _ in faults)
+    for kind, start_s, duration_s, hold, selector in faults:
         deployment.clock.later(
-            seconds(at * FIRST_FAULTS_S / latest), inject, deployment, kind, length, hold, pick
+            seconds(start_s * FIRST_FAULTS_S / latest), inject, deployment, kind, duration_s, hold, selector
         )
     for number in range(3):
         deployment.clock.later(seconds(2.0 * number), deployment.users.submit, number)
--- a/tests/test_pipeline_cancellations.py
+++ b/tests/test_pipeline_cancellations.py
@@ -8,9 +8,9 @@
 import pytest
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment_config import CANCEL
+from tests.deployment_config import CANCEL_TIMEOUT
 from tests.invariants.dependency_invariants import FINAL_STATES
-from tests.pipeline_deployments import LONG, post, ready, stages_of
+from tests.pipeline_deployments import LONG_JOB_FIELDS, deployment_with_leader, post, stages_of
 from tests.pipelines import chain, diamond, fan_out
 from tests.waiting import run_until
 
@@ -18,21 +18,21 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("shape", [chain(4), diamond(), fan_out(4)], ids=["chain", "diamond", "out"])
 def test_cancelling_a_running_job_cancels_all_after_it(seed, shape):
-    deployment, pipelines = ready(330 + seed)
-    pipeline = pipelines.begin(shape, **LONG)
+    deployment, pipelines = deployment_with_leader(330 + seed)
+    pipeline = pipelines.begin(shape, **LONG_JOB_FIELDS)
     run_until(deployment, lambda: pipeline.complete and deployment.executions.machines_of(pipeline.job(0)))
     deployment.users.cancel(pipeline.job(0))
     run_until(deployment, lambda: pipeline.job(0) in deployment.jobs.cancelled_at, 5)
     assert set(stages_of(deployment, pipeline.jobs)) == {"aborted"}
-    deployment.run(CANCEL + seconds(5))
+    deployment.run(CANCEL_TIMEOUT + seconds(5))
     assert not any(deployment.executions.machines_of(job) for job in pipeline.jobs)
     assert {job for job in pipeline.jobs if job in deployment.executions.first_start_at} == {pipeline.job(0)}
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_cancelling_in_the_middle_leaves_what_came_before(seed):
-    deployment, pipelines = ready(340 + seed)
-    pipeline = pipelines.begin(chain(4), **LONG)
+    deployment, pipelines = deployment_with_leader(340 + seed)
+    pipeline = pipelines.begin(chain(4), **LONG_JOB_FIELDS)
     run_until(deployment, lambda: pipeline.complete)
     deployment.users.cancel(pipeline.job(2))
     pipelines.settle()
@@ -47,12 +47,12 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_cancelling_while_the_pipeline_is_being_submitted(seed):
     """A job that depends on a cancelled job is accepted nevertheless, and aborted."""
-    deployment, pipelines = ready(350 + seed)
+    deployment, pipelines = deployment_with_leader(350 + seed)
     deployment.users.accepted_callbacks.append(
         lambda job: deployment.users.cancel(job) if job.endswith(("000", "004", "008")) else None
     )
     for shape in (chain(4), diamond(late=True), fan_out(3)):
-        pipelines.begin(shape, **LONG)
+        pipelines.begin(shape, **LONG_JOB_FIELDS)
     pipelines.settle()
     assert len(deployment.jobs.accepted) == 12 and set(deployment.jobs.observed_states.values()) == {
         "aborted"
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_cancelling_at_the_moment_of_an_end(seed):
     """Either the job's end is recorded first and the pipeline goes on, or all descendants are aborted."""
-    deployment, pipelines = ready(360 + seed)
+    deployment, pipelines = deployment_with_leader(360 + seed)
     deployment.faults.set_rate_during(seconds(40), "cancel_at_end", 0.4)
     pipelines.stream(10, seconds(1))
     deployment.run(seconds(30))
@@ -73,8 +73,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_cancellation_answered_with_done_lets_the_others_go_on(seed):
-    deployment, pipelines = ready(370 + seed)
-    pipeline = pipelines.begin(chain(3), **(LONG | {"run_s": 3.0}))
+    deployment, pipelines = deployment_with_leader(370 + seed)
+    pipeline = pipelines.begin(chain(3), **(LONG_JOB_FIELDS | {"run_s": 3.0}))
     run_until(deployment, lambda: deployment.jobs.observed_states.get(pipeline.job(0)) == "done")
     deployment.users.cancel(pipeline.job(0))
     deployment.run(seconds(2))
@@ -84,8 +84,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_cancelling_a_job_that_is_aborted_by_another_answers_aborted(seed):
-    deployment, pipelines = ready(380 + seed)
-    pipeline = pipelines.begin(chain(3), **LONG)
+    deployment, pipelines = deployment_with_leader(380 + seed)
+    pipeline = pipelines.begin(chain(3), **LONG_JOB_FIELDS)
     run_until(deployment, lambda: pipeline.complete)
     deployment.users.cancel(pipeline.job(0))
     run_until(deployment, lambda: pipeline.job(0) in deployment.jobs.cancelled_at, 5)
@@ -106,9 +106,9 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_all_after_a_job_cancelled_through_another_node_know_it_there(seed):
     """The jobs are cancelled at one controller, and users poll all controllers within milliseconds."""
-    deployment, pipelines = ready(390 + seed)
+    deployment, pipelines = deployment_with_leader(390 + seed)
     deployment.faults.set_rate_during(seconds(30), "poll_everywhere", True)
-    begun = [pipelines.begin(shape, **LONG) for shape in (chain(4), diamond(), fan_out(4))]
+    begun = [pipelines.begin(shape, **LONG_JOB_FIELDS) for shape in (chain(4), diamond(), fan_out(4))]
     run_until(deployment, lambda: all(pipeline.complete for pipeline in begun))
     for number, pipeline in enumerate(begun):
         deployment.users.cancel(pipeline.job(0), 40, deployment.controller_names[number % 3])
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("hold", [False, True], ids=["lost", "held"])
 def test_cancellations_while_the_leader_is_cut_off(seed, hold):
-    deployment, pipelines = ready(400 + seed)
+    deployment, pipelines = deployment_with_leader(400 + seed)
     pipelines.stream(8, seconds(1))
     pipelines.cancel_some(0.3, seconds(8))
     deployment.clock.later(
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_cancellations_before_and_in_an_outage_of_the_store(seed):
-    deployment, pipelines = ready(410 + seed)
+    deployment, pipelines = deployment_with_leader(410 + seed)
     pipelines.stream(8, seconds(0.7))
     pipelines.cancel_some(0.4, seconds(9))
     deployment.clock.later(seconds(4), deployment.faults.outage, seconds(6))
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_cancellations_while_leaders_change(seed):
-    deployment, pipelines = ready(420 + seed)
+    deployment, pipelines = deployment_with_leader(420 + seed)
     pipelines.stream(10, seconds(1.2))
     pipelines.cancel_some(0.3, seconds(6))
     deployment.faults.set_rate_during(seconds(16), "cancel_at_end", 0.2)
@@ -169,8 +169,8 @@
 
 
 def test_one_job_with_many_dependents_is_cancelled():
-    deployment, pipelines = ready(471)
-    pipeline = pipelines.begin(fan_out(60), **LONG)
+    deployment, pipelines = deployment_with_leader(471)
+    pipeline = pipelines.begin(fan_out(60), **LONG_JOB_FIELDS)
     run_until(deployment, lambda: pipeline.complete and deployment.executions.machines_of(pipeline.job(0)))
     deployment.users.cancel(pipeline.job(0))
     run_until(deployment, lambda: pipeline.job(0) in deployment.jobs.cancelled_at, 5)
--- a/tests/test_pipeline_combined_faults.py
+++ b/tests/test_pipeline_combined_faults.py
@@ -7,11 +7,11 @@
 import pytest
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment_config import CANCEL, DeploymentConfig
+from tests.deployment_config import CANCEL_TIMEOUT, DeploymentConfig
 from tests.pipelines import Pipelines, chain, diamond, fan_in, fan_out
-from tests.recorded_day import answers_everywhere
+from tests.recorded_day import answers_of_all_controllers
 from tests.simulated_deployment import SimulatedDeployment
-from tests.stored_tasks import Attempts, StoredTasks
+from tests.stored_tasks import AttemptInvariants, StoredTaskInvariants
 from tests.waiting import run_until
 
 TEAMS = tuple({"name": name, "cpus": 60.0, "cpus_max": 120.0} for name in ("red", "blue"))
@@ -21,12 +21,12 @@
 LARGE_ARRAY_TASKS = 150
 
 
-def ready(seed, **fields):
+def deployment_with_leader(seed, **fields):
     """Returns a deployment with an elected leader, and the pipelines to run in it."""
     config = DeploymentConfig(capacity=14, machine_cpus=16.0, teams=TEAMS, next_limits=NEXT_LIMITS, **fields)
     deployment = SimulatedDeployment(seed, config=config)
-    StoredTasks(deployment)
-    Attempts(deployment)
+    StoredTaskInvariants(deployment)
+    AttemptInvariants(deployment)
     deployment.run(seconds(3))
     return deployment, Pipelines(deployment)
 
@@ -37,7 +37,7 @@
     """The store begins to refuse the leader alone `before_s` seconds before the last task of the first jobs
     ends. One second later the store is down for all controllers, for longer than `cancel_s`. Users cancel
     jobs through any controller at the moment of their end."""
-    deployment, pipelines = ready(800 + seed)
+    deployment, pipelines = deployment_with_leader(800 + seed)
     for shape in (chain(3), diamond(), fan_out(3), fan_in(3)):
         pipelines.begin(shape, **SMALL, crew="red", run_s=[9.0])
     run_until(deployment, lambda: len(deployment.executions.first_start_at) >= 6)
@@ -49,7 +49,10 @@
         - deployment.clock.now()
     )
     deployment.clock.later(
-        max(begins, seconds(0)), deployment.faults.refuse_leader_then_outage, seconds(7), CANCEL + seconds(6)
+        max(begins, seconds(0)),
+        deployment.faults.refuse_leader_then_outage,
+        seconds(7),
+        CANCEL_TIMEOUT + seconds(6),
     )
     deployment.run(seconds(20))
     assert deployment.counts["cancelled at its end"] >= 4
@@ -65,7 +68,7 @@
     sends it a dependent of such a job. The controller forwards the request, its response to the user is lost,
     and the user repeats the request at another controller. Meanwhile some of
     the dependencies are cancelled."""
-    deployment, pipelines = ready(810 + seed)
+    deployment, pipelines = deployment_with_leader(810 + seed)
     lagging = seed % 3
     name = deployment.controller_names[lagging]
     sent = []
@@ -114,7 +117,7 @@
 def test_all_controllers_are_polled_within_milliseconds_about_pipelines(seed):
     """Users poll all controllers after each answer with a new state and cancel a fifth of the jobs at once,
     while leaders change and the store is slow."""
-    deployment, pipelines = ready(820 + seed)
+    deployment, pipelines = deployment_with_leader(820 + seed)
     deployment.faults.set_rate_during(seconds(26), "poll_everywhere", True)
     deployment.faults.set_rate_during(seconds(16), "cancel_at_once", 0.2)
     deployment.faults.set_rate_during(seconds(20), "slow_store", seconds(0.2))
@@ -129,7 +132,7 @@
 def test_the_end_of_the_last_dependency_is_carried_out_and_its_answer_lost(seed):
     """Half of the transactions are applied, but their answers are lost, and the leader that sent them ends
     soon after."""
-    deployment, pipelines = ready(830 + seed)
+    deployment, pipelines = deployment_with_leader(830 + seed)
     begun = [pipelines.begin(shape, **SMALL, run_s=[4.0]) for shape in (chain(3), diamond(), fan_in(4))]
     run_until(
         deployment,
@@ -152,7 +155,7 @@
     """The limits of the state service fall while the task range record of an array is being split to fit
     them. The job that depends on the array must start only when all tasks of the array are done, or be
     cancelled with it, also when another controller takes over as leader `takeover_s` seconds later."""
-    deployment, pipelines = ready(840)
+    deployment, pipelines = deployment_with_leader(840)
     run_times_s = [6.0 + index / 20 for index in range(LARGE_ARRAY_TASKS)]
     array = deployment.users.submit(
         1, crew="blue", threads=LARGE_ARRAY_TASKS, vcpus=0.5, mem_gb=0.1, run_s=run_times_s
@@ -179,7 +182,7 @@
     """Half of the descendants depend on the cancelled job directly, the other half through another job. Their
     cancellation is derived, not written to the store, so neither the lower request rates nor a takeover may
     delay the state that each controller reports for them."""
-    deployment, pipelines = ready(850, rps=2000.0, write_rps=600.0)
+    deployment, pipelines = deployment_with_leader(850, rps=2000.0, write_rps=600.0)
     first = deployment.users.submit(1, **SMALL, run_s=[60.0])
     run_until(deployment, lambda: deployment.executions.machines_of(first))
     numbers = range(1000, 2000)
@@ -201,7 +204,7 @@
     run_until(deployment, lambda: first in deployment.jobs.cancelled_at, 5)
     deployment.run(seconds(12))
     sample = descendants[::25]
-    answers = answers_everywhere(deployment, sample)
+    answers = answers_of_all_controllers(deployment, sample)
     assert {(status, body["stage"]) for status, body in answers.values()} == {(200, "aborted")}
     assert not deployment.executions.first_start_at.keys() & set(descendants)
     assert deployment.state.changes - changes_before < 60
--- a/tests/test_pipeline_submissions.py
+++ b/tests/test_pipeline_submissions.py
@@ -10,16 +10,16 @@
 from spindleglade.runtime.background import run_in_background
 from spindleglade.runtime.clock import seconds
 from tests.fakes.encoding import encode
-from tests.pipeline_deployments import LONG, post, ready
+from tests.pipeline_deployments import LONG_JOB_FIELDS, deployment_with_leader, post
 from tests.pipelines import chain
-from tests.recorded_day import answers_everywhere
+from tests.recorded_day import answers_of_all_controllers
 from tests.waiting import run_until
 
 
 @pytest.mark.parametrize("controller", range(3))
 def test_a_job_that_names_one_never_accepted_gets_422(controller):
-    deployment, pipelines = ready(450)
-    pipeline = pipelines.begin(chain(1), **LONG)
+    deployment, pipelines = deployment_with_leader(450)
+    pipeline = pipelines.begin(chain(1), **LONG_JOB_FIELDS)
     run_until(deployment, lambda: pipeline.complete)
     for number, awaits in enumerate((["job-999999"], [pipeline.job(0), "job-999999"], ["job-000500"])):
         body = dict(
@@ -28,7 +28,9 @@
         status, _ = post(deployment, body, deployment.controller_names[controller])
         assert status == 422, awaits
         # The rejected job is unknown to all controllers.
-        assert all(status == 404 for status, _ in answers_everywhere(deployment, [body["ref"]]).values())
+        assert all(
+            status == 404 for status, _ in answers_of_all_controllers(deployment, [body["ref"]]).values()
+        )
 
 
 @pytest.mark.parametrize(
@@ -49,8 +51,8 @@
     ids=str,
 )
 def test_what_is_no_list_of_job_ids_gets_400(awaits):
-    deployment, pipelines = ready(451)
-    pipeline = pipelines.begin(chain(1), **LONG)
+    deployment, pipelines = deployment_with_leader(451)
+    pipeline = pipelines.begin(chain(1), **LONG_JOB_FIELDS)
     run_until(deployment, lambda: pipeline.complete)
     body = dict(deployment.jobs.descriptions[pipeline.job(0)], ref="job-000500", awaits=awaits)
     status, _ = post(deployment, body, deployment.controller_names[0])
@@ -63,18 +65,18 @@
 
 @pytest.mark.parametrize("awaits", [None, []], ids=["null", "empty"])
 def test_null_and_empty_are_none(awaits):
-    deployment, pipelines = ready(452)
-    job = deployment.users.submit(500, awaits=awaits, **LONG)
+    deployment, pipelines = deployment_with_leader(452)
+    job = deployment.users.submit(500, awaits=awaits, **LONG_JOB_FIELDS)
     deployment.users.poll_until_over(job)
     pipelines.settle()
     assert deployment.jobs.observed_states[job] == "done"
 
 
 def test_duplicates_count_once():
-    deployment, pipelines = ready(453)
-    pipeline = pipelines.begin(chain(1), **LONG)
+    deployment, pipelines = deployment_with_leader(453)
+    pipeline = pipelines.begin(chain(1), **LONG_JOB_FIELDS)
     run_until(deployment, lambda: pipeline.complete)
-    job = deployment.users.submit(500, awaits=[pipeline.job(0)] * 30, **LONG)
+    job = deployment.users.submit(500, awaits=[pipeline.job(0)] * 30, **LONG_JOB_FIELDS)
     deployment.users.poll_until_over(job)
     pipelines.settle()
     assert deployment.jobs.observed_states[job] == "done"
@@ -84,7 +86,7 @@
 def test_a_lagging_controller_never_answers_422_for_an_accepted_job(seed):
     """The store refuses one controller or is slow while the others accept jobs. Until the lagging controller
     has caught up it may answer 503, but must not answer 422."""
-    deployment, pipelines = ready(460 + seed)
+    deployment, pipelines = deployment_with_leader(460 + seed)
     lagging = deployment.controller_names[seed % 3]
     dependents = []
 
@@ -115,8 +117,8 @@
 
 
 def test_a_controller_that_cannot_confirm_answers_503_for_an_unknown_dependency():
-    deployment, pipelines = ready(465)
-    pipeline = pipelines.begin(chain(1), **(LONG | {"run_s": 60.0}))
+    deployment, pipelines = deployment_with_leader(465)
+    pipeline = pipelines.begin(chain(1), **(LONG_JOB_FIELDS | {"run_s": 60.0}))
     run_until(deployment, lambda: pipeline.complete)
     deployment.faults.outage(seconds(6))
     deployment.run(seconds(2))
@@ -142,13 +144,13 @@
     """A list of dependencies as long as the request body allows must be accepted whatever limits apply, or be
     rejected with a documented status, and must cause no errors in the store. The job must start only after
     all its dependencies are done."""
-    deployment, pipelines = ready(470)
+    deployment, pipelines = deployment_with_leader(470)
     dependencies = [
         deployment.users.submit(number, vcpus=1.0, threads=1, mem_gb=0.1, run_s=0.3) for number in range(200)
     ]
     run_until(deployment, lambda: deployment.jobs.accepted >= set(dependencies))
     # Only ids of accepted jobs may be listed, so duplicates, which count once, make the list long.
-    body = {"awaits": (dependencies * (count // len(dependencies)))[:count]} | LONG
+    body = {"awaits": (dependencies * (count // len(dependencies)))[:count]} | LONG_JOB_FIELDS
     job = deployment.users.submit(90_000, **body)
     assert len(encode(deployment.jobs.descriptions[job])) < 64 * 1024
     deployment.users.poll_until_over(job)
--- a/tests/test_pipelines_after_roll.py
+++ b/tests/test_pipelines_after_roll.py
@@ -10,9 +10,9 @@
 from tests.deployment_config import DeploymentConfig
 from tests.pipelines import Pipelines, chain, diamond, fan_out
 from tests.production_writer import ProductionWriter
-from tests.recorded_day import LARGE_ARRAY, answers_everywhere, recorded_deployment
+from tests.recorded_day import LARGE_ARRAY, answers_of_all_controllers, recorded_deployment
 from tests.simulated_deployment import SimulatedDeployment
-from tests.stored_tasks import Attempts, StoredTasks
+from tests.stored_tasks import AttemptInvariants, StoredTaskInvariants
 from tests.waiting import settle
 
 SMALL = {"threads": 1, "vcpus": 1.0, "mem_gb": 0.1, "run_s": 2.0}
@@ -22,8 +22,8 @@
 def upgraded_deployment(seed):
     """Returns a deployment of the current version that continues from the recorded state."""
     deployment = recorded_deployment(seed, controllers=(0, 1, 2))
-    StoredTasks(deployment)
-    Attempts(deployment)
+    StoredTaskInvariants(deployment)
+    AttemptInvariants(deployment)
     for job in list(deployment.jobs.descriptions):
         deployment.users.poll_until_over(job)
     deployment.run(seconds(2))
@@ -50,7 +50,8 @@
         deployment.users.poll_until_over(job)
     deployment.run(seconds(3))
     stages = {
-        job: body["stage"] for (_, job), (_, body) in answers_everywhere(deployment, [after_aborted]).items()
+        job: body["stage"]
+        for (_, job), (_, body) in answers_of_all_controllers(deployment, [after_aborted]).items()
     }
     assert stages == {after_aborted: "aborted"}
     settle(deployment, 120.0)
--- a/tests/test_production.py
+++ b/tests/test_production.py
@@ -15,7 +15,7 @@
     LARGE_ARRAY,
     LARGE_ARRAY_TASKS,
     RECORDED,
-    answers_everywhere,
+    answers_of_all_controllers,
     read_messages,
     read_store,
     recorded_deployment,
@@ -56,14 +56,17 @@
 
 def recorded_jobs(stage=None):
     """The recorded jobs by id; all of them, or those of the given stage."""
-    found = {entry.key: production.decode_record(entry.key, entry.value) for entry in STORE.under("sg/job/")}
+    found = {
+        entry.key: production.decode_record(entry.key, entry.value)
+        for entry in STORE.entries_with_prefix("sg/job/")
+    }
     return {job.spec.id: job for job in found.values() if stage in (None, job.stage)}
 
 
 def recorded_chunks():
     return {
         production.split_chunk_key(entry.key): production.decode_record(entry.key, entry.value)
-        for entry in STORE.under(production.TASKS)
+        for entry in STORE.entries_with_prefix(production.TASKS)
     }
 
 
@@ -93,12 +96,12 @@
     aborted = recorded_jobs("aborted")
     assert any(chunk.placed for (job, _), chunk in chunks.items() if job in aborted)
     for prefix in CURRENT_TYPES:
-        assert STORE.under(prefix), prefix
+        assert STORE.entries_with_prefix(prefix), prefix
     assert production.decode_message(MESSAGES["Ping"]).aborts
 
 
 def test_chunk_keys_of_production_are_the_recorded_ones():
-    for entry in STORE.under(production.TASKS):
+    for entry in STORE.entries_with_prefix(production.TASKS):
         assert production.chunk_key(*production.split_chunk_key(entry.key)) == entry.key
 
 
@@ -208,12 +211,14 @@
     deployment = recorded_deployment(seed, controllers=(0, 1, 2))
     deployment.run(seconds(3))
     done, aborted = recorded_jobs("done"), recorded_jobs("aborted")
-    for (controller, job), (status, body) in answers_everywhere(deployment, sorted(done | aborted)).items():
+    for (controller, job), (status, body) in answers_of_all_controllers(
+        deployment, sorted(done | aborted)
+    ).items():
         assert (status, body["stage"]) == (200, "done" if job in done else "aborted"), (controller, job)
         if job in done:
             assert body["done"] == done[job].spec.tasks
     open_jobs = recorded_jobs("open")
-    for at, (status, _) in answers_everywhere(deployment, sorted(open_jobs)).items():
+    for at, (status, _) in answers_of_all_controllers(deployment, sorted(open_jobs)).items():
         assert status == 200, at
 
 
@@ -248,7 +253,7 @@
 def run_current_version():
     """Runs the current version with an array, small jobs and, for a while, a store that refuses a
     follower."""
-    deployment = RecordingDeployment(5, error=0.1, config=RECORDED)
+    deployment = RecordingDeployment(5, task_failure_rate=0.1, config=RECORDED)
     deployment.run(seconds(3))
     run_times_s = [1.0 + index % 20 for index in range(250)]
     deployment.users.submit(1, threads=250, vcpus=1.0, mem_gb=0.1, run_s=run_times_s)
@@ -339,7 +344,7 @@
         "later" not in deployment.state.keys[key][0] and "later" not in deployment.state.keys[key][0]["spec"]
     )
     deployment.run(seconds(1))
-    for at, (status, answer) in answers_everywhere(deployment, [body["ref"]]).items():
+    for at, (status, answer) in answers_of_all_controllers(deployment, [body["ref"]]).items():
         assert (status, answer["stage"]) == (200, stage), at
 
 
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -11,8 +11,8 @@
 from tests.deployment_config import description
 from tests.invariants.dependency_invariants import FINAL_STATES
 from tests.production_writer import ConditionFailed, ProductionWriter
-from tests.recorded_day import LARGE_ARRAY, answers_everywhere, read_store, recorded_deployment
-from tests.stored_tasks import Attempts, StoredTasks
+from tests.recorded_day import LARGE_ARRAY, answers_of_all_controllers, read_store, recorded_deployment
+from tests.stored_tasks import AttemptInvariants, StoredTaskInvariants
 from tests.waiting import settle
 
 # The index of the controller that leads in the recorded state.
@@ -24,8 +24,8 @@
 def begin_upgrade(seed):
     """Starts the upgrade: production still leads, and its other two controllers are replaced in turn."""
     deployment = recorded_deployment(seed)
-    StoredTasks(deployment)
-    Attempts(deployment)
+    StoredTaskInvariants(deployment)
+    AttemptInvariants(deployment)
     for job in list(deployment.jobs.descriptions):
         deployment.users.poll_until_over(job)
     writer = ProductionWriter(deployment)
@@ -80,7 +80,7 @@
     for first, last in chunk.done:
         for task in range(first, last + 1):
             assert f"{LARGE_ARRAY}/{task}" in deployment.executions.completed
-    for (_, job), (status, body) in answers_everywhere(
+    for (_, job), (status, body) in answers_of_all_controllers(
         deployment, sorted(deployment.jobs.descriptions)
     ).items():
         assert (status, body["stage"]) == (200, deployment.jobs.observed_states[job]), job
@@ -95,7 +95,7 @@
     # a cancelled job.
     cancelled = {
         placement.machine
-        for entry in read_store().under(production.TASKS)
+        for entry in read_store().entries_with_prefix(production.TASKS)
         if deployment.jobs.observed_states[production.split_chunk_key(entry.key)[0]] == "aborted"
         for placement in production.decode_record(entry.key, entry.value).placed.values()
     }
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -11,7 +11,7 @@
 from spindleglade.settings.operator import LeadershipSettings
 from tests.deployment_config import DeploymentConfig
 from tests.simulated_deployment import SimulatedDeployment
-from tests.workloads import ROOMY, settle
+from tests.workloads import LARGE_TEAMS, settle
 
 SILENCE = seconds(70)
 HEARTBEAT_INTERVAL = seconds(LeadershipSettings().ping_s)
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("silence_leader", [True, False])
 def test_a_controller_is_silent_for_more_than_a_minute(seed, silence_leader):
-    deployment = SimulatedDeployment(300 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment = SimulatedDeployment(300 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
     deployment.run(seconds(4))
     leader = deployment.leader()
     silent = leader if silence_leader else (leader + 1) % 3
--- a/tests/test_simulated_deployment.py
+++ b/tests/test_simulated_deployment.py
@@ -33,8 +33,8 @@
 
 @settings(max_examples=45)
 @given(st.integers(0, 1 << 30), JOBS, FAULTS, st.sampled_from([0.0, 0.05]))
-def test_no_rule_is_broken_whatever_fails(seed, jobs, faults, error):
-    deployment = SimulatedDeployment(seed, error=error)
+def test_no_rule_is_broken_whatever_fails(seed, jobs, faults, task_failure_rate):
+    deployment = SimulatedDeployment(seed, task_failure_rate=task_failure_rate)
     for number, job in enumerate(jobs):
         fields = {key: value for key, value in job.items() if key not in ("abort_after", "at")}
         if fields["glade"] is not None:
@@ -45,8 +45,8 @@
         if job["abort_after"] is not None:
             at = seconds(job["at"] + job["abort_after"])
             deployment.clock.later(at, deployment.users.cancel, f"job-{number:06d}")
-    for kind, at, length, hold, pick in faults:
-        deployment.clock.later(seconds(at), inject, deployment, kind, length, hold, pick)
+    for kind, start_s, duration_s, hold, selector in faults:
+        deployment.clock.later(seconds(start_s), inject, deployment, kind, duration_s, hold, selector)
 
     def poll():
         for number in [*range(len(jobs)), 999_999]:
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -13,7 +13,7 @@
     async def run_jobs_and_kill_controllers():
         deployment = Loopback(tmp_path)
         try:
-            await deployment.ready()
+            await deployment.wait_until_ready()
             await deployment.run_job("job-000001")
             # Each of the three is killed in turn, so one of the kills hits the first leader.
             for at in range(3):
@@ -21,11 +21,11 @@
                 deployment.start(at)
                 await deployment.run_job(f"job-00001{at}")
             for job in list(deployment.jobs):
-                await deployment.done(job)
+                await deployment.wait_until_done(job)
             # The process that was killed last may still be starting, although the other two have served all
             # requests so far. Requests can be sent to it directly only after it is ready.
             for at in range(3):
-                assert await deployment.serves(at)
+                assert await deployment.is_ready(at)
             assert (await deployment.ask(0, "GET", "/submissions/job-999999")).status == 404
             assert (await deployment.ask(1, "POST", "/submissions", b"{")).status == 400
             assert (await deployment.ask(2, "PUT", "/submissions")).status == 405
@@ -33,7 +33,7 @@
             too_long = await deployment.ask(2, "POST", "/submissions", b" " * 70_000)
             assert too_long.status == 400
         finally:
-            deployment.end()
+            deployment.shut_down()
 
     run_in_reactor(run_jobs_and_kill_controllers, 240)
 
--- a/tests/test_whole_fleet.py
+++ b/tests/test_whole_fleet.py
@@ -19,7 +19,7 @@
 # A controller has just enough sockets for all workers.
 CONFIG = DeploymentConfig(
     capacity=MACHINES,
-    report=seconds(2.5),
+    heartbeat_interval=seconds(2.5),
     lease=seconds(8),
     teams=TEAMS,
     cloud_rps=6.0,
--- a/tests/upgrade_on_loopback.py
+++ b/tests/upgrade_on_loopback.py
@@ -46,7 +46,7 @@
     deployment = Loopback(Path(folder), roots)
     job_number = 0
     try:
-        await deployment.ready()
+        await deployment.wait_until_ready()
         await deployment.run_job("job-000001")
         for upgraded in range(3):
             roots[upgraded] = ROOT
@@ -56,7 +56,7 @@
                 job_number += 1
                 await deployment.submit(f"job-0001{job_number:02d}")
                 await make_leader(deployment, index, roots)
-                await deployment.done(f"job-0001{job_number:02d}")
+                await deployment.wait_until_done(f"job-0001{job_number:02d}")
                 print(
                     f"{upgraded + 1} of 3 replaced, node-{index} leads, {len(deployment.jobs)} jobs done",
                     flush=True,
@@ -65,10 +65,10 @@
         await deployment.submit("job-000201", awaits=["job-000200", "job-000001"])
         await deployment.submit("job-000202", awaits=["job-000201"])
         for job in list(deployment.jobs):
-            await deployment.done(job)
+            await deployment.wait_until_done(job)
         print("upgraded")
     finally:
-        deployment.end()
+        deployment.shut_down()
 
 
 def main():
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -17,12 +17,12 @@
     assert condition()
 
 
-def settle(deployment: SimulatedDeployment, timeout_s: float, after_troubles: bool = False) -> None:
+def settle(deployment: SimulatedDeployment, timeout_s: float, after_faults: bool = False) -> None:
     """Runs until users were told that all jobs are over. Fails if that takes more than `timeout_s` seconds
-    from now or, with `after_troubles`, from the end of the last fault if that is later."""
+    from now or, with `after_faults`, from the end of the last fault if that is later."""
     start = (
         max(deployment.clock.now(), deployment.fault_window.ends_at)
-        if after_troubles
+        if after_faults
         else deployment.clock.now()
     )
     while deployment.clock.now() < start + seconds(timeout_s) and _open_jobs(deployment):
--- a/tests/workloads.py
+++ b/tests/workloads.py
@@ -4,10 +4,10 @@
 from spindleglade.runtime.clock import seconds
 
 # Teams with limits high enough for all jobs that the tests submit.
-ROOMY = tuple({"name": name, "cpus": 40.0, "cpus_max": 80.0} for name in ("red", "blue"))
+LARGE_TEAMS = tuple({"name": name, "cpus": 40.0, "cpus_max": 80.0} for name in ("red", "blue"))
 
 
-def busy(deployment, jobs, every=0.5, cancelled=0.2, **fields):
+def submit_stream(deployment, jobs, every=0.5, cancelled=0.2, **fields):
     """Schedules a stream of jobs, one every `every` seconds from now on. Users cancel the fraction
     `cancelled` of them within 10 s: while they wait, run or end."""
     rng = deployment.rng
@@ -30,7 +30,7 @@
         deployment.clock.later(seconds(number * every), submit, 1000 + number)
 
 
-def running(deployment, count, **fields):
+def submit_and_await_running(deployment, count, **fields):
     """Submits jobs of one task each to a deployment that is ready. Returns them once all are running."""
     first = len(deployment.jobs.descriptions)
     jobs = [
