--- a/tests/deployment_config.py
+++ b/tests/deployment_config.py
@@ -42,8 +42,8 @@
     report: timedelta = seconds(1)
     lease: timedelta = seconds(6)
     teams: tuple[dict, ...] = tuple(TEAMS)
-    # Requests per second that the state service admits, how many of them may write, and requests per second
-    # that the cloud admits.
+    # Requests and writes per second that the state service admits, and requests per second that the cloud
+    # admits.
     rps: float = 300.0
     write_rps: float = 100.0
     cloud_rps: float = 5.0
--- a/tests/fakes/state_service.py
+++ b/tests/fakes/state_service.py
@@ -1,7 +1,7 @@
 """A fake state service that follows the published protocol: transactions, watches and leases.
 
-It does no networking. `handle` takes a request and returns a status and a body, or a Deferred of both where
-the protocol lets the answer wait. All times come from the clock that it is given.
+It does no networking. `handle` takes a request and returns a status and a body, or a Deferred of both for
+a watch that waits for changes. All times come from the clock that it is given.
 """
 
 import math
@@ -69,12 +69,13 @@
         self.keys: dict[str, StoredValue] = {}
         self.log: list[dict] = []
         self.max_log_entries = 10_000
+        # The time to live and the expiry time of each lease.
         self.leases: dict[int, list] = {}
         self.next_lease = 1
         self.is_down = False
         self._watches: list[tuple[str, int, Deferred]] = []
-        # Whether the limits have been lowered. Until then, a transaction over these limits fails the test;
-        # afterwards it is rejected with 400.
+        # Whether the limits have been lowered. Until then, a transaction with too many operations or a value
+        # that is too large fails the test. Afterwards it is rejected with 400.
         self.has_lowered_limits = False
         # The bodies of transactions rejected for too many operations or too large values.
         self.rejected_for_size: list[bytes] = []
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -72,7 +72,7 @@
         self.last_sent_at = clock.now()
         self.terminated = False
         self.terminates_at: timedelta | None = None
-        # While the machine hangs: when it resumes, and the messages received meanwhile, handled after that.
+        # When a machine that hangs resumes (None if it does not hang), and the messages to handle then.
         self.hung_until: timedelta | None = None
         self._held_back: list[Callable[[], None]] = []
         self.next_heartbeat_after = heartbeat_interval
--- a/tests/generated_faults.py
+++ b/tests/generated_faults.py
@@ -16,6 +16,7 @@
 CANCELLED_AT_END_FRACTION = 0.6
 LOST_FRACTION = 0.1
 MAX_LINK_DELAY = seconds(0.3)
+# The minimum and maximum boot time of machines that boot fast.
 FAST_BOOT_S = (0.2, 1.5)
 
 
--- a/tests/invariants/service_invariants.py
+++ b/tests/invariants/service_invariants.py
@@ -85,7 +85,8 @@
     def _resource_usage(self) -> tuple[list[tuple[Machine, float, float]], Counter]:
         """Returns the free CPUs and memory of each healthy machine, and the CPUs that each team holds.
 
-        A team holds the CPUs of a task until the worker has cleared the task, even after its exit.
+        A machine is healthy if it neither hangs nor has a termination notice. A team holds the CPUs of a task
+        until the worker has cleared the task, even after its exit.
         """
         free_resources: list[tuple[Machine, float, float]] = []
         cpus_held: Counter[str] = Counter()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -79,7 +79,7 @@
             self.start(index, roots[index])
 
     def listen(self, handle):
-        """Serves requests by `handle` on a free port, and returns the address."""
+        """Serves requests with `handle` on a free port, and returns the address."""
 
         async def serve(method, path, body):
             answer = handle(method, path, body)
@@ -179,7 +179,7 @@
         return False
 
     async def ready(self):
-        """Waits for three answers that a controller is ready."""
+        """Waits until three requests in a row have found a controller that is ready."""
         for _ in range(3):
             assert await self.ask_until("GET", "/ready", None, 200)
 
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -17,7 +17,7 @@
 from tests.simulation.machines import SimulatedMachines
 from tests.simulation.network import SimulatedNetwork
 
-# Between the store's refusal of the leader and its outage for all controllers.
+# The time from the start of the store's refusal of the leader to its outage for all controllers.
 OUTAGE_AFTER_REFUSAL = seconds(1)
 # Users who cancel jobs together do so within this time.
 CANCELLATION_SPREAD_S = 0.2
@@ -74,7 +74,7 @@
         self._clock.later(length, self._network.refused_by_store.discard, name)
 
     def refuse_leader_then_outage(self, refusal_length: timedelta, length: timedelta) -> None:
-        """Makes the store refuse the leader only, and a second later makes it unavailable to all."""
+        """Makes the store refuse the leader for `refusal_length`, and starts an outage a second later."""
         leader = self._endpoints.leader()
         if leader is not None:
             self.refuse(leader, refusal_length)
@@ -108,7 +108,7 @@
             self._clock.later(length * number / changes, end_leader)
 
     def freeze(self, index: int, length: timedelta) -> None:
-        """Pauses the process; messages to and from it are queued until it resumes."""
+        """Pauses the controller's process. Messages to and from it are queued until it resumes."""
         name = self._endpoints.controller_names[index]
         if name in self._endpoints.controllers:
             process_clock: LifeClock = self._processes.clocks[name]
@@ -176,7 +176,8 @@
     def cancel_running(self, count: int, hang_length: timedelta) -> None:
         """Cancels up to `count` running jobs within 0.2 s.
 
-        Unless `hang_length` is zero, one machine of about half of the jobs hangs for that time first.
+        For about half of these jobs, one machine that runs the job hangs for `hang_length` from now on.
+        No machine hangs if `hang_length` is zero.
         """
         running = [
             job
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -21,9 +21,9 @@
 HEARTBEAT_PATH = "/v1/report"
 TRANSACTION_PATH = "/txn"
 OK, TOO_MANY_REQUESTS, UNAVAILABLE = 200, 429, 503
-# Between attempts to execute a transaction that the store has rejected with 429 or 503.
+# The delay before a transaction that the store has rejected with 429 or 503 is executed again.
 RETRY_DELAY = seconds(0.3)
-# The maximum delay of a late copy of a heartbeat, in worker leases.
+# The maximum delay of a late copy of a heartbeat, as a multiple of the worker lease.
 MAX_LATE_LEASES = 2.5
 PEER_DELAY = seconds(0.002)
 QUEUED_DELIVERY_DELAY = seconds(0.001)
@@ -89,7 +89,7 @@
         self.cut(name, others, queue_messages, length)
 
     def cut_zone(self, zone: str, queue_messages: bool, length: timedelta) -> None:
-        """Cuts a zone's workers and controllers off from all endpoints outside the zone."""
+        """Cuts a zone's workers and controllers off from everything outside it, but not from each other."""
         zones = {name: controller._platform.zone for name, controller in self._endpoints.controllers.items()}
         inside = [name for name, own_zone in zones.items() if own_zone == zone]
         outside = [name for name in self._endpoints.controller_names if name not in inside]
@@ -155,7 +155,7 @@
         self._clock.later(seconds(delay), arrive)
 
     def serve(self, source: str, target: str, method: str, path: str, body: bytes) -> Reply | Deferred | None:
-        """Returns the target's answer to a request that has arrived, or None if its worker does not run."""
+        """Returns the target's answer to a request, or None if the target's worker does not run."""
         if target == STATE:
             refused = source in self.refused_by_store
             return (UNAVAILABLE, b"") if refused else self._endpoints.state.handle(method, path, body)
@@ -181,7 +181,7 @@
     # Transactions that get no answer.
 
     def _loses_answer(self, body: bytes) -> bool:
-        """Decides whether a transaction loses its answer; if so, it is still executed, at once or late."""
+        """Decides whether a transaction gets no answer. If so, schedules its execution, at once or late."""
         rates = self._rates
         draw = self._rng.random() if rates.late_writes or rates.lost_answers else 1.0
         if draw < rates.late_writes:
@@ -238,7 +238,7 @@
         return version.read_message(msgspec.msgpack.encode(message))
 
     def pass_to_peer(self, source: str, target: str, arrive: Callable[[], None]) -> None:
-        """Delivers a message between controllers; only cuts lose such messages, and they keep their order."""
+        """Delivers a message between controllers, in the order sent. Only cuts lose such messages."""
         pair = frozenset((source, target))
         if pair not in self.cuts:
             self._clock.later(PEER_DELAY, arrive)
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -18,7 +18,8 @@
 
 OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE = 200, 201, 400, 404, 422
 FINAL_STATUSES = (OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE)
-# How often a request is repeated, how long a user waits for its answer, and the delay before a repetition.
+# The maximum number of repetitions of a request, how long a user waits for an answer, and the delay before a
+# repetition.
 MAX_RETRIES = 40
 ANSWER_TIMEOUT = seconds(2)
 RETRY_DELAY = seconds(1)
@@ -28,8 +29,8 @@
 # Delays of a cancellation after the end of the job's last task: at once, or while the worker's heartbeat that
 # reports the end is still on its way to the controllers.
 CANCEL_AT_END_DELAYS_S = (0.0, 0.05, 0.3, 0.6)
-# For `poll_everywhere`: the number of rounds, the intervals between rounds, the time within which each round
-# reaches all controllers, and the share of requests that poll the job instead of repeating its submission.
+# For `poll_everywhere`: the number of requests to each controller, the possible intervals between them, the
+# maximum random delay added to each, and the share that poll the job instead of repeating its submission.
 POLL_EVERYWHERE_ROUNDS = 4
 POLL_EVERYWHERE_INTERVALS_S = (0.002, 0.02, 0.3)
 POLL_EVERYWHERE_SPREAD_S = 0.004
@@ -196,7 +197,8 @@
             self._poll_everywhere(job_id)
 
     def _poll_everywhere(self, job_id: str) -> None:
-        """Polls the job, or repeats its submission, at all controllers in rounds of a few milliseconds."""
+        """Polls the job, or repeats its submission, several times at each controller within milliseconds to a
+        second. If the job is open, also cancels it with the probability `cancel_at_once`."""
         self._counts["close looks"] += 1
         for round_number in range(POLL_EVERYWHERE_ROUNDS):
             for name in self._endpoints.controller_names:
--- a/tests/stored_tasks.py
+++ b/tests/stored_tasks.py
@@ -62,7 +62,8 @@
         return done, attempts
 
     def _values(self) -> dict[str, dict[int, dict[str, Any]]]:
-        """The values by job and first task. A chunk without a key counts as an empty value."""
+        """The values of task ranges and overflow ranges, by job and first task. A task range without a key
+        counts as an empty value."""
         values_by_job: dict[str, dict[int, dict[str, Any]]] = {}
         for key, (value, _, _) in self._deployment.state.keys.items():
             if not key.startswith((TASKS, PARTS)):
@@ -125,6 +126,7 @@
                 location = (name, worker.incarnation)
                 if self._locations.setdefault(attempt, location) != location:
                     self._deployment.violations.append(
-                        f"attempt {attempt} on {location} and on {self._locations[attempt]}"
+                        f"attempt {attempt} is on machine and incarnation {location} and on"
+                        f" {self._locations[attempt]}"
                     )
         self._deployment.clock.later(self._deployment.config.report / 10, self._sample)
--- a/tests/test_combined_faults_of_leadership.py
+++ b/tests/test_combined_faults_of_leadership.py
@@ -140,9 +140,9 @@
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("downtime_s", [0.2, 8.0, 15.0])
 def test_all_controllers_restart_at_once(seed, downtime_s):
-    """All controllers end within a second and are back after `downtime_s` seconds, also for more than
-    a lease. Then single controllers restart one after another, each for less than a second. After the short
-    downtime no task may have been restarted."""
+    """All controllers end within a second. Each starts again after about `downtime_s` seconds, which can be
+    longer than a worker's lease. Then single controllers restart one after another, each for less than a
+    second. After the short downtime no task may have been restarted."""
     deployment = SimulatedDeployment(380 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
     jobs = running(deployment, 6, vcpus=2.0, run_s=20.0)
@@ -158,7 +158,7 @@
     deployment.faults.cancel_running(3, seconds(0))
     deployment.run(seconds(downtime_s + 2))
     for index in (0, 1, 0, 2, 1):
-        # Ends and is back within a second.
+        # The controller ends and is back within 0.8 s.
         deployment.faults.restart(index, seconds(deployment.rng.uniform(0.05, 0.8)))
         deployment.run(seconds(0.7))
     settle(deployment, 90)
--- a/tests/test_combined_faults_of_placement.py
+++ b/tests/test_combined_faults_of_placement.py
@@ -201,8 +201,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_machines_that_cannot_report_get_no_work_that_they_would_lose(seed):
-    """Commands reach these machines, but their heartbeats reach no controller, so their leases expire. Tasks
-    placed on them would be lost again and again."""
+    """Commands reach half of the machines, but the heartbeats of these machines reach no controller, so their
+    leases expire. Tasks placed on them would be lost again and again, so the test bounds the starts."""
     deployment = SimulatedDeployment(560 + seed, config=DeploymentConfig(capacity=6, teams=ROOMY))
     deployment.cloud.boot_failure_probability = 0.0
     deployment.run(seconds(3))
@@ -224,8 +224,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_cancelled_work_on_machines_that_hang(seed):
-    """The machines hang for some seconds, shorter or longer than their lease, and then handle the commands
-    and responses that arrived meanwhile. Cancelled tasks must not go on."""
+    """Machines that run cancelled jobs hang, for less or more time than their lease, and then handle the
+    commands and responses that arrived meanwhile. Cancelled tasks must not go on."""
     deployment = SimulatedDeployment(580 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     busy(deployment, 60, cancelled=0.1)
     for at in range(5, 30, 4):
@@ -255,7 +255,7 @@
     busy(deployment, 480, every=0.25, cancelled=0.25, threads=1, vcpus=1.0, run_s=4.0)
     deployment.run(seconds(125))
     settle(deployment, 30)
-    # A job that ends takes four writes: accepted, placed, done, task range removed. A cancelled job takes
+    # A job that is done takes four writes: accepted, placed, done, task range removed. A cancelled job takes
     # three: accepted, placed, cancelled.
     changes_per_job = (deployment.state.changes - changes_before) / 480
     assert changes_per_job < 4.2, changes_per_job
--- a/tests/test_combined_faults_of_store.py
+++ b/tests/test_combined_faults_of_store.py
@@ -107,9 +107,9 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_all_controllers_agree_within_milliseconds_of_each_answer(seed):
-    """After every answer with a new state, users poll all controllers within milliseconds, several times, and
-    repeat the submission. Three tenths of the jobs are cancelled at once, and half of the ending jobs are
-    cancelled at the moment of their end. All controllers must answer the same final state."""
+    """When a job is accepted and when it is over, users poll all controllers several times, at first within
+    milliseconds, and repeat the submission. Three tenths of the jobs are cancelled at once, and half of the
+    ending jobs are cancelled at the moment of their end. All controllers must answer the same final state."""
     deployment = SimulatedDeployment(200 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
     deployment.run(seconds(3))
     deployment.faults.during(seconds(30), "poll_everywhere", True)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -22,7 +22,7 @@
 
 # Numbers of machines that the cloud can provision.
 FLEET_SIZES = (0, 1, 3, 12, 30)
-# Generated faults begin, and controllers start, at most so many seconds after the deployment.
+# The maximum time from the start of a run to the start of each controller and of each generated fault.
 FIRST_FAULTS_S = 8.0
 
 
--- a/tests/test_pipeline_combined_faults.py
+++ b/tests/test_pipeline_combined_faults.py
@@ -17,7 +17,7 @@
 TEAMS = tuple({"name": name, "cpus": 60.0, "cpus_max": 120.0} for name in ("red", "blue"))
 NEXT_LIMITS = {"value_kb": 2.0, "txn_ops": 4, "rps": 150.0, "write_rps": 40.0}
 SMALL = {"threads": 1, "vcpus": 1.0, "mem_gb": 0.1}
-# An array of so many tasks has a task range record larger than the next limit on values.
+# An array with this many tasks has a task range record larger than the next limit on values.
 LARGE_ARRAY_TASKS = 150
 
 
@@ -60,8 +60,8 @@
 def test_a_dependent_is_sent_to_a_lagging_controller_and_its_answer_is_lost(seed):
     """The store refuses one controller, so its replica lacks the jobs that other controllers accept. A user
     sends it a dependent of such a job. The controller forwards the request, its response to the user is lost,
-    and the user repeats the request at another controller. Meanwhile some of
-    the dependencies are cancelled."""
+    and the user repeats the request at another controller. Meanwhile some of the dependencies
+    are cancelled."""
     deployment, pipelines = ready(810 + seed)
     lagging = seed % 3
     name = deployment.controller_names[lagging]
@@ -109,8 +109,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_all_controllers_are_polled_within_milliseconds_about_pipelines(seed):
-    """Users poll all controllers after each answer with a new state and cancel a fifth of the jobs at once,
-    while leaders change and the store is slow."""
+    """Users poll all controllers when a job is accepted and when it is over, and cancel a fifth of the jobs
+    upon acceptance, while leaders change and the store is slow."""
     deployment, pipelines = ready(820 + seed)
     deployment.faults.during(seconds(26), "poll_everywhere", True)
     deployment.faults.during(seconds(16), "cancel_at_once", 0.2)
--- a/tests/workloads.py
+++ b/tests/workloads.py
@@ -63,7 +63,8 @@
 
 
 def assert_none_began_twice(deployment, jobs):
-    """Fails if a job's task started more than once, as when a lease was lost that could be renewed."""
+    """Fails if the first task of a job started more than once, for example because its worker lost a lease
+    that could have been renewed."""
     restarted = {
         job: deployment.executions.start_counts[f"{job}/0"]
         for job in jobs
