--- a/spindleglade/cli.py
+++ b/spindleglade/cli.py
@@ -110,6 +110,6 @@
         print(f"spindleglade: {error}", file=sys.stderr)
         return EXIT_BAD_INPUT
     if options.command == "check":
-        print("settings are valid")
+        print("settings are good")
         return EXIT_OK
     return serve(platform, settings)
