--- a/tests/generated_faults.py
+++ b/tests/generated_faults.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment_config import CANCEL
+from tests.deployment_config import CANCEL_TIMEOUT
 from tests.simulated_deployment import SimulatedDeployment
 
 CONTROLLER_COUNT = 3
@@ -16,6 +16,7 @@
 CANCELLED_AT_END_FRACTION = 0.6
 LOST_FRACTION = 0.1
 MAX_LINK_DELAY = seconds(0.3)
+# The minimum and maximum boot time of machines that boot fast.
 FAST_BOOT_S = (0.2, 1.5)
 
 
@@ -81,18 +82,20 @@
 
 def _set_rate(rate: str, value: float | timedelta | bool) -> Injector:
     """An injector that sets a fault rate while the fault lasts."""
-    return lambda fault: fault.deployment.faults.during(fault.duration, rate, value)
+    return lambda fault: fault.deployment.faults.set_rate_during(fault.duration, rate, value)
 
 
 def _refuse_leader_then_outage(fault: InjectedFault) -> None:
     # The outage lasts longer than `cancel_s`, and some running jobs are cancelled as the fault begins.
     faults = fault.deployment.faults
-    faults.refuse_leader_then_outage(seconds(1 + fault.duration_s), CANCEL + seconds(fault.duration_s / 3))
+    faults.refuse_leader_then_outage(
+        seconds(1 + fault.duration_s), CANCEL_TIMEOUT + seconds(fault.duration_s / 3)
+    )
     faults.cancel_running(3, seconds(0))
 
 
 def _slow_store(fault: InjectedFault) -> None:
-    fault.deployment.faults.during(fault.duration, "slow_store", seconds(0.2 + fault.selector / 50))
+    fault.deployment.faults.set_rate_during(fault.duration, "slow_store", seconds(0.2 + fault.selector / 50))
 
 
 def _kill_all(fault: InjectedFault) -> None:
@@ -117,8 +120,8 @@
 
 
 def _poll_everywhere(fault: InjectedFault) -> None:
-    fault.deployment.faults.during(fault.duration, "cancel_at_once", AFFECTED_FRACTION)
-    fault.deployment.faults.during(fault.duration, "poll_everywhere", True)
+    fault.deployment.faults.set_rate_during(fault.duration, "cancel_at_once", AFFECTED_FRACTION)
+    fault.deployment.faults.set_rate_during(fault.duration, "poll_everywhere", True)
 
 
 def _cloud_unavailable(fault: InjectedFault) -> None:
@@ -133,8 +136,12 @@
 
 INJECTORS: dict[str, Injector] = {
     "outage": lambda fault: fault.deployment.faults.outage(fault.duration),
-    "refuse_leader": lambda fault: fault.deployment.faults.refuse(fault.leader_index, fault.duration),
-    "refuse_any": lambda fault: fault.deployment.faults.refuse(fault.controller_index, fault.duration),
+    "refuse_leader": lambda fault: fault.deployment.faults.refuse_by_store(
+        fault.leader_index, fault.duration
+    ),
+    "refuse_any": lambda fault: fault.deployment.faults.refuse_by_store(
+        fault.controller_index, fault.duration
+    ),
     "refuse_leader_then_outage": _refuse_leader_then_outage,
     "slow_store": _slow_store,
     "late_writes": _set_rate("late_writes", AFFECTED_FRACTION),
@@ -179,7 +186,9 @@
         lambda fault, machine: fault.deployment.faults.kill_machine(machine.partition(":")[0])
     ),
     "spot_notice": _on_machine(
-        lambda fault, machine: fault.deployment.faults.give_notice(machine.partition(":")[0], fault.duration)
+        lambda fault, machine: fault.deployment.faults.terminate_with_notice(
+            machine.partition(":")[0], fault.duration
+        )
     ),
     "cloud_unavailable": _cloud_unavailable,
     "fast_boots": _fast_boots,
--- a/tests/invariants/service_invariants.py
+++ b/tests/invariants/service_invariants.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING, Any
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment_config import size
+from tests.deployment_config import requested_cpus
 from tests.fakes.cloud import Machine
-from tests.invariants.dependency_invariants import OVER
+from tests.invariants.dependency_invariants import FINAL_STATES
 
 if TYPE_CHECKING:
     from tests.simulated_deployment import SimulatedDeployment
@@ -26,7 +26,8 @@
 
 
 class ServiceInvariants:
-    """Records jobs that wait in spite of free capacity as violations, and checks a whole day at its end."""
+    """Records jobs that wait in spite of free capacity as violations, and checks the objectives of a whole
+    run at its end."""
 
     def __init__(self, deployment: "SimulatedDeployment") -> None:
         self._deployment = deployment
@@ -39,7 +40,7 @@
         """Returns the share of done jobs among those nobody cancelled, by class, team or any other `key`."""
         outcomes: dict = {}
         for job_id, job in self._deployment.jobs.descriptions.items():
-            if not self._deployment.dependencies.cancelled(job_id):
+            if not self._deployment.dependencies.is_cancel_requested(job_id):
                 outcomes.setdefault(key(job), []).append(
                     self._deployment.jobs.observed_states.get(job_id) == "done"
                 )
@@ -49,15 +50,15 @@
         """Returns the ids of the largest jobs of each class by the total CPUs of all tasks."""
         max_sizes: dict[str, float] = {}
         for job in self._deployment.jobs.descriptions.values():
-            max_sizes[job["bobbin"]] = max(max_sizes.get(job["bobbin"], 0.0), size(job))
+            max_sizes[job["bobbin"]] = max(max_sizes.get(job["bobbin"], 0.0), requested_cpus(job))
         return {
             job_id
             for job_id, job in self._deployment.jobs.descriptions.items()
-            if size(job) >= max_sizes[job["bobbin"]]
+            if requested_cpus(job) >= max_sizes[job["bobbin"]]
         }
 
-    def check_day(self) -> None:
-        """Checks a whole day at its end.
+    def check_objectives(self) -> None:
+        """Checks the objectives of a whole run at its end.
 
         Every job must be accepted, `MIN_SERVED_SHARE` of the jobs of each class, of each team and of the
         largest jobs of each class must be done, and the largest jobs must start within `MAX_START_DELAY`.
@@ -74,10 +75,12 @@
             shares = self.done_shares(key)
             assert min(shares.values(), default=1.0) >= MIN_SERVED_SHARE, shares
         waits = {
-            job: self._deployment.executions.began_at.get(job, self._deployment.clock.now() + MAX_START_DELAY)
+            job: self._deployment.executions.first_start_at.get(
+                job, self._deployment.clock.now() + MAX_START_DELAY
+            )
             - self._deployment.jobs.submitted_at[job]
             for job in largest
-            if not self._deployment.dependencies.cancelled(job)
+            if not self._deployment.dependencies.is_cancel_requested(job)
         }
         late = {job: wait for job, wait in waits.items() if wait >= MAX_START_DELAY}
         assert not late, late
@@ -85,7 +88,8 @@
     def _resource_usage(self) -> tuple[list[tuple[Machine, float, float]], Counter]:
         """Returns the free CPUs and memory of each healthy machine, and the CPUs that each team holds.
 
-        A team holds the CPUs of a task until the worker has cleared the task, even after its exit.
+        A machine is healthy if it neither hangs nor has a termination notice. A team holds the CPUs of a task
+        until the worker has cleared the task, even after its exit.
         """
         free_resources: list[tuple[Machine, float, float]] = []
         cpus_held: Counter[str] = Counter()
@@ -126,10 +130,10 @@
         """Whether a task of the job could start on a machine that runs now."""
         return self._fits(job, *self._resource_usage())
 
-    def work(self, team: str) -> timedelta:
+    def max_work_time(self, team: str) -> timedelta:
         """Returns how long a team's jobs take at its CPU limit if each runs for its maximum time."""
         cpu_s = sum(
-            size(job) * MAX_RUN_TIME_FACTOR * job["run_s"]
+            requested_cpus(job) * MAX_RUN_TIME_FACTOR * job["run_s"]
             for job in self._deployment.jobs.descriptions.values()
             if job["crew"] == team
         )
@@ -146,9 +150,9 @@
             job = self._deployment.jobs.descriptions[job_id]
             tasks = [f"{job_id}/{index}" for index in range(job["threads"])]
             if (
-                self._deployment.dependencies.cancelled(job_id)
-                or not self._deployment.dependencies.released(job_id)
-                or self._deployment.jobs.observed_states.get(job_id) in OVER
+                self._deployment.dependencies.is_cancel_requested(job_id)
+                or not self._deployment.dependencies.is_released(job_id)
+                or self._deployment.jobs.observed_states.get(job_id) in FINAL_STATES
                 or all(
                     task in self._deployment.executions.completed
                     or self._deployment.executions.running_on.get(task)
--- a/tests/record_production.py
+++ b/tests/record_production.py
@@ -70,7 +70,7 @@
 
 def run_until_recorded() -> RecordingDeployment:
     """Runs a deployment under load until its store holds a record of each kind."""
-    deployment = RecordingDeployment(SEED, error=0.15, config=day.RECORDED)
+    deployment = RecordingDeployment(SEED, task_failure_rate=0.15, config=day.RECORDED)
     deployment.run(seconds(3))
     run_times_s = [4.0 + (index * 7) % 60 for index in range(day.LARGE_ARRAY_TASKS)]
     deployment.users.submit(
@@ -83,7 +83,7 @@
     assert leader is not None
     follower = (leader + 1) % 3
     # While the store refuses a controller, it forwards users' requests.
-    deployment.faults.refuse(follower, seconds(4))
+    deployment.faults.refuse_by_store(follower, seconds(4))
     # Such a controller learns of cancellations from its peers.
     deployment.clock.later(
         seconds(1), deployment.users.cancel, "job-000003", 40, deployment.controller_names[leader]
--- a/tests/test_pipeline_combined_faults.py
+++ b/tests/test_pipeline_combined_faults.py
@@ -7,26 +7,26 @@
 import pytest
 
 from spindleglade.runtime.clock import seconds
-from tests.deployment_config import CANCEL, DeploymentConfig
+from tests.deployment_config import CANCEL_TIMEOUT, DeploymentConfig
 from tests.pipelines import Pipelines, chain, diamond, fan_in, fan_out
-from tests.recorded_day import answers_everywhere
+from tests.recorded_day import answers_of_all_controllers
 from tests.simulated_deployment import SimulatedDeployment
-from tests.stored_tasks import Attempts, StoredTasks
+from tests.stored_tasks import AttemptInvariants, StoredTaskInvariants
 from tests.waiting import run_until
 
 TEAMS = tuple({"name": name, "cpus": 60.0, "cpus_max": 120.0} for name in ("red", "blue"))
 NEXT_LIMITS = {"value_kb": 2.0, "txn_ops": 4, "rps": 150.0, "write_rps": 40.0}
 SMALL = {"threads": 1, "vcpus": 1.0, "mem_gb": 0.1}
-# An array of so many tasks has a task range record larger than the next limit on values.
+# An array with this many tasks has a task range record larger than the next limit on values.
 LARGE_ARRAY_TASKS = 150
 
 
-def ready(seed, **fields):
+def deployment_with_leader(seed, **fields):
     """Returns a deployment with an elected leader, and the pipelines to run in it."""
     config = DeploymentConfig(capacity=14, machine_cpus=16.0, teams=TEAMS, next_limits=NEXT_LIMITS, **fields)
     deployment = SimulatedDeployment(seed, config=config)
-    StoredTasks(deployment)
-    Attempts(deployment)
+    StoredTaskInvariants(deployment)
+    AttemptInvariants(deployment)
     deployment.run(seconds(3))
     return deployment, Pipelines(deployment)
 
@@ -37,16 +37,22 @@
     """The store begins to refuse the leader alone `before_s` seconds before the last task of the first jobs
     ends. One second later the store is down for all controllers, for longer than `cancel_s`. Users cancel
     jobs through any controller at the moment of their end."""
-    deployment, pipelines = ready(800 + seed)
+    deployment, pipelines = deployment_with_leader(800 + seed)
     for shape in (chain(3), diamond(), fan_out(3), fan_in(3)):
         pipelines.begin(shape, **SMALL, crew="red", run_s=[9.0])
-    run_until(deployment, lambda: len(deployment.executions.began_at) >= 6)
-    deployment.faults.during(seconds(12), "cancel_at_end", 1.0)
+    run_until(deployment, lambda: len(deployment.executions.first_start_at) >= 6)
+    deployment.faults.set_rate_during(seconds(12), "cancel_at_end", 1.0)
     begins = (
-        max(deployment.executions.began_at.values()) + seconds(9) - seconds(before_s) - deployment.clock.now()
+        max(deployment.executions.first_start_at.values())
+        + seconds(9)
+        - seconds(before_s)
+        - deployment.clock.now()
     )
     deployment.clock.later(
-        max(begins, seconds(0)), deployment.faults.refuse_leader_then_outage, seconds(7), CANCEL + seconds(6)
+        max(begins, seconds(0)),
+        deployment.faults.refuse_leader_then_outage,
+        seconds(7),
+        CANCEL_TIMEOUT + seconds(6),
     )
     deployment.run(seconds(20))
     assert deployment.counts["cancelled at its end"] >= 4
@@ -60,9 +66,9 @@
 def test_a_dependent_is_sent_to_a_lagging_controller_and_its_answer_is_lost(seed):
     """The store refuses one controller, so its replica lacks the jobs that other controllers accept. A user
     sends it a dependent of such a job. The controller forwards the request, its response to the user is lost,
-    and the user repeats the request at another controller. Meanwhile some of
-    the dependencies are cancelled."""
-    deployment, pipelines = ready(810 + seed)
+    and the user repeats the request at another controller. Meanwhile some of the dependencies
+    are cancelled."""
+    deployment, pipelines = deployment_with_leader(810 + seed)
     lagging = seed % 3
     name = deployment.controller_names[lagging]
     sent = []
@@ -92,7 +98,7 @@
 
     deployment.users.accepted_callbacks.append(send_dependent)
     for at in (0.2, 6.0, 11.0):
-        deployment.clock.later(seconds(at), deployment.faults.refuse, lagging, seconds(4))
+        deployment.clock.later(seconds(at), deployment.faults.refuse_by_store, lagging, seconds(4))
     for number in range(16):
         deployment.clock.later(
             seconds(number), lambda n=number: deployment.users.submit_and_poll(n, **SMALL, run_s=2.0)
@@ -103,22 +109,22 @@
     # Each job is accepted once; a repeated submission is answered with 200 and the state of the job.
     assert deployment.counts["submission 200"] >= 3
     assert [deployment.jobs.observed_states[job] == "aborted" for job in sent] == [
-        deployment.dependencies.cancelled(job) for job in sent
+        deployment.dependencies.is_cancel_requested(job) for job in sent
     ]
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_all_controllers_are_polled_within_milliseconds_about_pipelines(seed):
-    """Users poll all controllers after each answer with a new state and cancel a fifth of the jobs at once,
-    while leaders change and the store is slow."""
-    deployment, pipelines = ready(820 + seed)
-    deployment.faults.during(seconds(26), "poll_everywhere", True)
-    deployment.faults.during(seconds(16), "cancel_at_once", 0.2)
-    deployment.faults.during(seconds(20), "slow_store", seconds(0.2))
+    """Users poll all controllers when a job is accepted and when it is over, and cancel a fifth of the jobs
+    upon acceptance, while leaders change and the store is slow."""
+    deployment, pipelines = deployment_with_leader(820 + seed)
+    deployment.faults.set_rate_during(seconds(26), "poll_everywhere", True)
+    deployment.faults.set_rate_during(seconds(16), "cancel_at_once", 0.2)
+    deployment.faults.set_rate_during(seconds(20), "slow_store", seconds(0.2))
     pipelines.stream(9, seconds(1.5))
     deployment.clock.later(seconds(5), deployment.faults.change_leaders, 3, seconds(10))
     deployment.run(seconds(26))
-    assert deployment.counts["close looks"] > 30 and deployment.counts["leaders"] > 1
+    assert deployment.counts["polls at all controllers"] > 30 and deployment.counts["leaders"] > 1
     pipelines.settle()
 
 
@@ -126,19 +132,19 @@
 def test_the_end_of_the_last_dependency_is_carried_out_and_its_answer_lost(seed):
     """Half of the transactions are applied, but their answers are lost, and the leader that sent them ends
     soon after."""
-    deployment, pipelines = ready(830 + seed)
+    deployment, pipelines = deployment_with_leader(830 + seed)
     begun = [pipelines.begin(shape, **SMALL, run_s=[4.0]) for shape in (chain(3), diamond(), fan_in(4))]
     run_until(
         deployment,
-        lambda: all(one.complete for one in begun) and len(deployment.executions.began_at) >= 6,
+        lambda: all(one.complete for one in begun) and len(deployment.executions.first_start_at) >= 6,
     )
-    deployment.faults.during(seconds(14), "lost_answers", 0.5)
+    deployment.faults.set_rate_during(seconds(14), "lost_answers", 0.5)
     for at in (4.2, 9.0):
         deployment.clock.later(
             seconds(at), lambda: deployment.faults.restart(deployment.leader() or 0, seconds(0.5))
         )
     deployment.run(seconds(16))
-    assert deployment.counts["astray carried out"] > 5
+    assert deployment.counts["unanswered transactions executed"] > 5
     pipelines.settle()
     assert set(deployment.jobs.observed_states.values()) == {"done"}
 
@@ -149,7 +155,7 @@
     """The limits of the state service fall while the task range record of an array is being split to fit
     them. The job that depends on the array must start only when all tasks of the array are done, or be
     cancelled with it, also when another controller takes over as leader `takeover_s` seconds later."""
-    deployment, pipelines = ready(840)
+    deployment, pipelines = deployment_with_leader(840)
     run_times_s = [6.0 + index / 20 for index in range(LARGE_ARRAY_TASKS)]
     array = deployment.users.submit(
         1, crew="blue", threads=LARGE_ARRAY_TASKS, vcpus=0.5, mem_gb=0.1, run_s=run_times_s
@@ -176,7 +182,7 @@
     """Half of the descendants depend on the cancelled job directly, the other half through another job. Their
     cancellation is derived, not written to the store, so neither the lower request rates nor a takeover may
     delay the state that each controller reports for them."""
-    deployment, pipelines = ready(850, rps=2000.0, write_rps=600.0)
+    deployment, pipelines = deployment_with_leader(850, rps=2000.0, write_rps=600.0)
     first = deployment.users.submit(1, **SMALL, run_s=[60.0])
     run_until(deployment, lambda: deployment.executions.machines_of(first))
     numbers = range(1000, 2000)
@@ -198,9 +204,9 @@
     run_until(deployment, lambda: first in deployment.jobs.cancelled_at, 5)
     deployment.run(seconds(12))
     sample = descendants[::25]
-    answers = answers_everywhere(deployment, sample)
+    answers = answers_of_all_controllers(deployment, sample)
     assert {(status, body["stage"]) for status, body in answers.values()} == {(200, "aborted")}
-    assert not deployment.executions.began_at.keys() & set(descendants)
+    assert not deployment.executions.first_start_at.keys() & set(descendants)
     assert deployment.state.changes - changes_before < 60
     for job in sample:
         deployment.users.poll(job)
--- a/tests/test_silent_controllers.py
+++ b/tests/test_silent_controllers.py
@@ -11,7 +11,7 @@
 from spindleglade.settings.operator import LeadershipSettings
 from tests.deployment_config import DeploymentConfig
 from tests.simulated_deployment import SimulatedDeployment
-from tests.workloads import ROOMY, settle
+from tests.workloads import LARGE_TEAMS, settle
 
 SILENCE = seconds(70)
 HEARTBEAT_INTERVAL = seconds(LeadershipSettings().ping_s)
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("silence_leader", [True, False])
 def test_a_controller_is_silent_for_more_than_a_minute(seed, silence_leader):
-    deployment = SimulatedDeployment(300 + seed, config=DeploymentConfig(capacity=8, teams=ROOMY))
+    deployment = SimulatedDeployment(300 + seed, config=DeploymentConfig(capacity=8, teams=LARGE_TEAMS))
     deployment.run(seconds(4))
     leader = deployment.leader()
     silent = leader if silence_leader else (leader + 1) % 3
@@ -48,7 +48,7 @@
     early_until = deployment.clock.now() - seconds(20)
     early = [job for job, at in deployment.jobs.submitted_at.items() if silent_since < at < early_until]
     assert len(early) >= 30 and all(
-        job in deployment.jobs.accepted and job in deployment.executions.began_at for job in early
+        job in deployment.jobs.accepted and job in deployment.executions.first_start_at for job in early
     )
     deployment.run(SILENCE - seconds(40) - seconds(1))
     # Once the silence is detected, peers send that controller only heartbeats, on one connection at a time.
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from spindleglade.runtime.clock import seconds
-from tests.invariants.dependency_invariants import OVER
+from tests.invariants.dependency_invariants import FINAL_STATES
 from tests.simulated_deployment import SimulatedDeployment
 
 
@@ -17,12 +17,12 @@
     assert condition()
 
 
-def settle(deployment: SimulatedDeployment, timeout_s: float, after_troubles: bool = False) -> None:
+def settle(deployment: SimulatedDeployment, timeout_s: float, after_faults: bool = False) -> None:
     """Runs until users were told that all jobs are over. Fails if that takes more than `timeout_s` seconds
-    from now or, with `after_troubles`, from the end of the last fault if that is later."""
+    from now or, with `after_faults`, from the end of the last fault if that is later."""
     start = (
         max(deployment.clock.now(), deployment.fault_window.ends_at)
-        if after_troubles
+        if after_faults
         else deployment.clock.now()
     )
     while deployment.clock.now() < start + seconds(timeout_s) and _open_jobs(deployment):
@@ -35,5 +35,5 @@
     return {
         job: deployment.jobs.observed_states.get(job)
         for job in deployment.jobs.descriptions
-        if deployment.jobs.observed_states.get(job) not in OVER
+        if deployment.jobs.observed_states.get(job) not in FINAL_STATES
     }
