--- a/spindleglade/runtime/decoding.py
+++ b/spindleglade/runtime/decoding.py
@@ -17,4 +17,4 @@
     try:
         return decoder(data)
     except RecursionError as error:
-        raise msgspec.DecodeError("data is nested too deeply") from error
+        raise msgspec.DecodeError("nested too deeply") from error
--- a/spindleglade/submissions/test_messages.py
+++ b/spindleglade/submissions/test_messages.py
@@ -99,7 +99,7 @@
 def test_a_body_nested_too_deeply_is_malformed(start):
     """With a response of status 503, users would retry the submission."""
     body = start + b'"x":' + b"[" * 30_000
-    with pytest.raises(msgspec.DecodeError):
+    with pytest.raises(msgspec.DecodeError, match="^nested too deeply$"):
         decode_submission(body)
     assert decode_job_reference(body) is None
 
